--- a/internal/contain/contain.go
+++ b/internal/contain/contain.go
@@ -185,7 +185,7 @@
 	if r.Standing == quarantine.Contained {
 		why = "the request is in quarantine"
 	}
-	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", why, r.Ends).After(r.RetryAfter)
+	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", why, r.Ends).WithRetryAfter(r.RetryAfter)
 }
 
 // SetPlace tells the place of this entry among all; see quarantine.Set.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func (c *Controller) isOrderer(b fencing.Belief) bool {
+func (c *Controller) isOrderer(b fencing.FleetSnapshot) bool {
 	vm, ok := fencing.Orderer(b.List, c.cfg.DataCenter)
 	mine := ok && vm == c.cfg.VM
 	if mine != c.ordered {
@@ -163,7 +163,7 @@
 
 // refresh asks the entry for a newer fleet list. It returns false if the entry
 // doesn't answer: a belief that can't be refreshed gives no orders.
-func (c *Controller) refresh(ctx context.Context) (fencing.Belief, bool) {
+func (c *Controller) refresh(ctx context.Context) (fencing.FleetSnapshot, bool) {
 	req := connect.NewRequest(&peerv1.ExchangeRequest{})
 	if held := c.fleet.Current(); held != nil {
 		req.Msg.DocumentDigests = []*peerv1.DocumentDigest{{Name: published.Fleet, Revision: uint64(held.Revision)}}
@@ -173,7 +173,7 @@
 	}
 	resp, err := c.entry.Exchange(ctx, req)
 	if err != nil {
-		return fencing.Belief{}, false
+		return fencing.FleetSnapshot{}, false
 	}
 	for _, d := range resp.Msg.GetDocuments() {
 		if d.GetName() == published.Fleet {
@@ -182,14 +182,14 @@
 	}
 	held := c.fleet.Current()
 	if held == nil {
-		return fencing.Belief{}, false
+		return fencing.FleetSnapshot{}, false
 	}
-	return fencing.Belief{Revision: held.Revision, List: held.Value}, true
+	return fencing.FleetSnapshot{Revision: held.Revision, List: held.Value}, true
 }
 
 // observe asks the engines of the data centre for their models.
-func (c *Controller) observe(ctx context.Context, l *fleet.List) []fencing.Observed {
-	var out []fencing.Observed
+func (c *Controller) observe(ctx context.Context, l *fleet.List) []fencing.EngineReport {
+	var out []fencing.EngineReport
 	for _, e := range l.Endpoints {
 		if e.Type != fleet.Engine || e.DataCenter != c.cfg.DataCenter {
 			continue
@@ -199,7 +199,7 @@
 			c.orders.WithLabelValues("unreachable").Inc()
 			continue
 		}
-		out = append(out, fencing.Observed{Endpoint: e.ID, Fencing: st.Fencing, Loaded: st.Loaded, Loading: st.Loading})
+		out = append(out, fencing.EngineReport{Endpoint: e.ID, Fencing: st.Fencing, Loaded: st.Loaded, Loading: st.Loading})
 	}
 	return out
 }
--- a/internal/engineclient/engineclient.go
+++ b/internal/engineclient/engineclient.go
@@ -99,7 +99,7 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 256))
 	f := &attempt.Failure{
-		Kind:        retry.Protocol,
+		Kind:        retry.ProtocolError,
 		Draining:    resp.Header.Get(engineapi.HeaderDraining) != "",
 		Incarnation: incarnation(resp),
 		Err:         errors.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text)),
@@ -188,7 +188,7 @@
 		}
 		event, err := s.parse(ev.Data)
 		if err != nil {
-			return &attempt.Failure{Kind: retry.Protocol, Err: err}
+			return &attempt.Failure{Kind: retry.ProtocolError, Err: err}
 		}
 		if !handle(event) {
 			return nil
@@ -212,7 +212,7 @@
 	}}
 	if r := c.Choices[0].FinishReason; r != nil {
 		out.Chunk.Final = true
-		out.Chunk.Reason = *r
+		out.Chunk.FinishReason = *r
 	}
 	return out, nil
 }
@@ -264,14 +264,14 @@
 	}
 	defer resp.Body.Close()
 	if got := resp.Header.Get(engineapi.HeaderRequestID); got != "" && got != requestID {
-		return nil, &attempt.Failure{Kind: retry.Protocol, Err: errors.New("reply to another request")}
+		return nil, &attempt.Failure{Kind: retry.ProtocolError, Err: errors.New("reply to another request")}
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
 	if err != nil {
 		return nil, &attempt.Failure{Kind: retry.LinkLost, Err: err}
 	}
 	if len(data) > maxReplyBytes {
-		return nil, &attempt.Failure{Kind: retry.Protocol, Err: errors.New("reply too large")}
+		return nil, &attempt.Failure{Kind: retry.ProtocolError, Err: errors.New("reply too large")}
 	}
 	return &Reply{resp.StatusCode, resp.Header.Get("Content-Type"), data}, nil
 }
--- a/internal/engineclient/engineclient_test.go
+++ b/internal/engineclient/engineclient_test.go
@@ -62,7 +62,7 @@
 	g.Expect(f.Kind).To(Equal(retry.NotSent))
 
 	for name, want := range map[string]retry.Failure{
-		"refused": retry.RefusedBeforeExecution, "crossed": retry.Protocol, "status": retry.Protocol,
+		"refused": retry.RefusedBeforeExecution, "crossed": retry.ProtocolError, "status": retry.ProtocolError,
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			switch name {
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -148,8 +148,8 @@
 			return
 		}
 		k := limits.Key{Workspace: workspace, Kind: kind}
-		out.InFlight = s.InFlight().Sum(k)
-		out.Queued = s.Queued().Sum(k)
+		out.InFlight = s.InFlight().TotalUsage(k)
+		out.Queued = s.Queued().TotalUsage(k)
 		x := s.Explain(now, scheduler.Request{Workspace: workspace, Kind: kind, Row: row, PromptTokens: tokens, Arrived: now})
 		out.Ahead = x.Ahead
 		out.ExpectedWait = x.Wait.String()
@@ -165,10 +165,10 @@
 	for i, c := range x.Candidates {
 		reason := x.Reasons[i]
 		out.Candidates = append(out.Candidates, operatorapi.Candidate{
-			ID: x.IDs[i], Local: c.Local, Leaving: c.Leaving, Broken: c.Broken,
-			Fill: c.Fill, Fits: c.Fits, Slowness: c.Slowness, Kept: reason.Kept, Score: reason.Score,
+			ID: x.IDs[i], Local: c.Local, Leaving: c.Leaving, Broken: c.BreakerOpen,
+			Fill: c.Utilization, Fits: c.Fits, Slowness: c.Slowness, Kept: reason.Eligible, Score: reason.Score,
 		})
-		if reason.Kept && (best < 0 || better(out.Candidates[i], out.Candidates[best])) {
+		if reason.Eligible && (best < 0 || better(out.Candidates[i], out.Candidates[best])) {
 			best = i
 		}
 	}
--- a/internal/filters/body/body.go
+++ b/internal/filters/body/body.go
@@ -37,7 +37,7 @@
 func refusal(err error, limit int64) *outcome.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return outcome.NotRunf(outcome.CodeTooLarge, "the body is larger than %d bytes", limit)
+		return outcome.NotRunf(outcome.CodeBodyTooLarge, "the body is larger than %d bytes", limit)
 	}
 	return outcome.NotRunf(outcome.CodeBadRequest, "the body could not be read")
 }
--- a/internal/filters/bound/bound.go
+++ b/internal/filters/bound/bound.go
@@ -23,7 +23,7 @@
 			defer func() { <-places }()
 			next.ServeHTTP(w, r)
 		default:
-			respond.Refuse(w, r, outcome.NotRunf(outcome.CodeBusy, "the entry holds %d requests already", most).After(retryAfter))
+			respond.Refuse(w, r, outcome.NotRunf(outcome.CodeEntryBusy, "the entry holds %d requests already", most).WithRetryAfter(retryAfter))
 		}
 	})
 }
--- a/internal/filters/claim/claim.go
+++ b/internal/filters/claim/claim.go
@@ -50,7 +50,7 @@
 
 // NoTicket refuses a caller that needs a ticket while none can be given.
 func NoTicket() *outcome.Error {
-	return outcome.NotRunf(outcome.CodeStopping, "no ticket can be given now").After(retryAfterFull)
+	return outcome.NotRunf(outcome.CodeStopping, "no ticket can be given now").WithRetryAfter(retryAfterFull)
 }
 
 func giveTicket(w http.ResponseWriter, o *owner.Owner, j *job.Job) bool {
--- a/internal/filters/classify/classify.go
+++ b/internal/filters/classify/classify.go
@@ -54,7 +54,7 @@
 		return findRow(j, kind, held.Value)
 	}
 	if j.Method != http.MethodPost {
-		return outcome.NotRunf(outcome.CodeMethod, "use POST")
+		return outcome.NotRunf(outcome.CodeMethodNotAllowed, "use POST")
 	}
 	kind, err := readCompletion(j, kind)
 	if err != nil {
--- a/internal/filters/identify/identify.go
+++ b/internal/filters/identify/identify.go
@@ -25,7 +25,7 @@
 			return
 		}
 		if claimed := r.Header.Get(httpapi.HeaderWorkspace); claimed != "" && claimed != workspace {
-			respond.Refuse(w, r, outcome.NotRunf(outcome.CodeForbidden, "the API key belongs to another workspace"))
+			respond.Refuse(w, r, outcome.NotRunf(outcome.CodeWorkspaceMismatch, "the API key belongs to another workspace"))
 			return
 		}
 		job.From(r).Workspace = workspace
--- a/internal/filters/route/route.go
+++ b/internal/filters/route/route.go
@@ -39,7 +39,7 @@
 
 func fill(j *job.Job, held *register.Held[*table.Table]) *outcome.Error {
 	if held == nil {
-		return outcome.NotRunf(outcome.CodeNoTable, "no table has been read yet").After(retryAfterNoTable)
+		return outcome.NotRunf(outcome.CodeNoTable, "no table has been read yet").WithRetryAfter(retryAfterNoTable)
 	}
 	j.Revision = held.Revision
 	if j.RequestID == "" {
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -195,7 +195,7 @@
 	}
 	const half = 0.5
 	return retry.Budget{
-		Share: g.vm.Bounds.RetryRatio * half,
+		Ratio: g.vm.Bounds.RetryRatio * half,
 		Burst: max(g.vm.Bounds.RetrySlack*half/presumedEntries, 1),
 	}
 }
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -29,16 +29,16 @@
 
 // state decides whether new connections had better come here, and logs each change.
 func (g *Gateway) state() readiness.State {
-	b := readiness.Beliefs{CaughtUp: g.caughtUp.Load(), HasValues: g.store.Ready(), Stopping: g.stopping.Load()}
-	if b.HasValues && !g.cfg.Without.has(mechStranded) {
+	b := readiness.Conditions{CaughtUp: g.caughtUp.Load(), ConfigLoaded: g.store.Ready(), Stopping: g.stopping.Load()}
+	if b.ConfigLoaded && !g.cfg.Without.has(mechStranded) {
 		var reach scheduler.Reach
-		b.Unservable, reach = g.reach()
-		b.CutOff = reach.CutOff
+		b.UnservableTargets, reach = g.reach()
+		b.Isolated = reach.CutOff
 		g.logReach(reach)
 	}
 	now := readiness.Decide(b)
 	if before := readiness.State(g.lastState.Swap(int32(now))); before != now {
-		g.log.Info("readiness", "state", now, "before", before, "unservable", b.Unservable, "cut_off", b.CutOff, "fleet", g.fleetRevision())
+		g.log.Info("readiness", "state", now, "before", before, "unservable", b.UnservableTargets, "cut_off", b.Isolated, "fleet", g.fleetRevision())
 	}
 	return now
 }
--- a/internal/native/generate.go
+++ b/internal/native/generate.go
@@ -68,11 +68,11 @@
 		return false
 	}
 	d := retry.Decide(retry.Attempt{
-		Failure:  f.Kind,
-		Bound:    g.bound.ID != "",
-		Released: g.asm.Released(),
-		Resumes:  g.resumes,
-		TimeLeft: g.j.Left(ctx),
+		Failure:         f.Kind,
+		GenerationKnown: g.bound.ID != "",
+		Released:        g.asm.Released(),
+		Resumes:         g.resumes,
+		TimeLeft:        g.j.Left(ctx),
 	})
 	return d.Step == retry.Resume
 }
@@ -142,7 +142,7 @@
 	}
 	if e.Chunk.Final {
 		g.usage = e.Usage
-		g.reason = e.Chunk.Reason
+		g.reason = e.Chunk.FinishReason
 		return false
 	}
 	g.resumes = 0
--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -139,8 +139,8 @@
 		// Before anything is sent: a life may be known to leave before it is listed.
 		b.setLeaving(p)
 		if l, ok := p.(limited); ok {
-			l.InFlight().SetEntries(len(list.Entries()))
-			l.Queued().SetEntries(len(list.Entries()))
+			l.InFlight().SetEntryCount(len(list.Entries()))
+			l.Queued().SetEntryCount(len(list.Entries()))
 		}
 	})
 }
@@ -255,7 +255,7 @@
 	}
 	b.dispatcher.View(func(_ time.Time, p scheduler.Policy) {
 		if l, ok := p.(limited); ok {
-			setUsage(r, l.InFlight().Published(), l.Queued().Published())
+			setUsage(r, l.InFlight().PublishedUsage(), l.Queued().PublishedUsage())
 		}
 	})
 }
@@ -313,16 +313,16 @@
 func (b *Beliefs) setDoubt(doubt bool) {
 	b.dispatcher.View(func(_ time.Time, p scheduler.Policy) {
 		if l, ok := p.(limited); ok {
-			l.InFlight().SetDoubt(doubt)
-			l.Queued().SetDoubt(doubt)
+			l.InFlight().SetUncertain(doubt)
+			l.Queued().SetUncertain(doubt)
 		}
 	})
 }
 
 func forgetPeer(p scheduler.Policy, vm string) {
 	if l, ok := p.(limited); ok {
-		l.InFlight().SetPeer(vm, nil)
-		l.Queued().SetPeer(vm, nil)
+		l.InFlight().SetPeerUsage(vm, nil)
+		l.Queued().SetPeerUsage(vm, nil)
 	}
 }
 
@@ -356,8 +356,8 @@
 		b.applyLoads(now, p, r.GetLoads())
 		if l, ok := p.(limited); ok {
 			inFlight, queued := usageOf(r)
-			l.InFlight().SetPeer(r.GetVm(), inFlight)
-			l.Queued().SetPeer(r.GetVm(), queued)
+			l.InFlight().SetPeerUsage(r.GetVm(), inFlight)
+			l.Queued().SetPeerUsage(r.GetVm(), queued)
 		}
 	})
 }
--- a/internal/peering/convert.go
+++ b/internal/peering/convert.go
@@ -15,7 +15,7 @@
 )
 
 // setUsage writes the own use of the limits under pressure.
-func setUsage(r *peerv1.NodeRecord, inFlight, queued []limits.Use) {
+func setUsage(r *peerv1.NodeRecord, inFlight, queued []limits.Usage) {
 	r.UsageKeys, r.UsageInFlight, r.UsageQueued = nil, nil, nil
 	index := map[limits.Hash]int{}
 	place := func(h limits.Hash) int {
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -50,7 +50,7 @@
 		p.state.LastAt = start
 	}
 	// Half an event of an attempt that broke off goes no further.
-	p.state.Events.Continue()
+	p.state.Events.BeginContinuation()
 	f.sessions.add(p.session)
 	defer f.sessions.remove(p.session)
 	err := p.follow(ctx, resp)
@@ -91,7 +91,7 @@
 		if h == nil || err == nil && h.ended {
 			return err
 		}
-		p.state.Events.Continue()
+		p.state.Events.BeginContinuation()
 		if resp, err = p.resume(ctx, h); err != nil {
 			return err
 		}
@@ -250,10 +250,10 @@
 // caller has a part. What was broken off or stopped had not ended: at least one event was
 // still to come, so that an answer without one is not the rest, though it ends well.
 func (p *pass) end(resp *upstream.Response) error {
-	if p.state.Events.Partial() {
+	if p.state.Events.HasPartial() {
 		return io.ErrUnexpectedEOF
 	}
-	if p.state.Begun && p.state.Events.AtSeam() {
+	if p.state.Begun && p.state.Events.AwaitingContinuation() {
 		return errNoRest
 	}
 	p.start(resp)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -194,12 +194,12 @@
 			Err:      errors.Errorf("status %d", resp.Status),
 		}
 	case resp.Status < http.StatusMultipleChoices && resp.RequestID == "":
-		return &attempt.Failure{Kind: retry.Protocol, Err: errors.Errorf("status %d without the request's id", resp.Status)}
+		return &attempt.Failure{Kind: retry.ProtocolError, Err: errors.Errorf("status %d without the request's id", resp.Status)}
 	case resp.Signed:
 		return nil
 	case resp.Status < http.StatusMultipleChoices:
-		return &attempt.Failure{Kind: retry.Protocol, Err: errors.Errorf("status %d without a signature", resp.Status)}
-	case outcome.Promises(resp.Status):
+		return &attempt.Failure{Kind: retry.ProtocolError, Err: errors.Errorf("status %d without a signature", resp.Status)}
+	case outcome.StatusMeansNotRun(resp.Status):
 		return &attempt.Failure{Kind: retry.LinkLost, Err: errors.Errorf("status %d without a proof that nothing ran", resp.Status)}
 	default:
 		return nil
@@ -217,7 +217,7 @@
 		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: err}}
 	}
 	if len(body) > maxAnswerBytes {
-		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.Protocol, Err: errors.New("answer too large")}}
+		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.ProtocolError, Err: errors.New("answer too large")}}
 	}
 	answer := &attempt.Answer{Status: resp.Status, Header: resp.Header, Body: body}
 	if j.Row.Idempotent && resp.Status >= http.StatusInternalServerError {
--- a/internal/runner/budgets.go
+++ b/internal/runner/budgets.go
@@ -43,13 +43,13 @@
 }
 
 func (b *budgets) target(name string) *retry.Budget {
-	return get(b.targets, name, func() *retry.Budget { return retry.NewBudgetOf(b.perTarget.Share, b.perTarget.Burst) })
+	return get(b.targets, name, func() *retry.Budget { return retry.NewBudgetWith(b.perTarget.Ratio, b.perTarget.Burst) })
 }
 
 // all are the budgets that one request draws on.
 func (b *budgets) all(workspace, endpoint, target string) []*retry.Budget {
 	out := []*retry.Budget{get(b.workspaces, workspace, retry.NewBudget), get(b.endpoints, endpoint, retry.NewBudget)}
-	if b.perTarget.Share > 0 {
+	if b.perTarget.Ratio > 0 {
 		out = append(out, b.target(target))
 	}
 	return out
@@ -60,7 +60,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, one := range b.all(workspace, endpoint, target) {
-		one.First()
+		one.RecordFirstAttempt()
 	}
 }
 
@@ -68,7 +68,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, one := range b.all(workspace, endpoint, target) {
-		if !one.Left() {
+		if !one.Available() {
 			return false
 		}
 	}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -87,7 +87,7 @@
 			return r.settle(&st, err)
 		}
 		if !pause.For(ctx, retry.Backoff(st.runs, rand.Float64)) {
-			return st.combine(outcome.NotRunf(outcome.CodeDeadline, "the time is up"))
+			return st.combine(outcome.NotRunf(outcome.CodeDeadlineUnreachable, "the time is up"))
 		}
 	}
 }
@@ -197,11 +197,11 @@
 		Idempotent:        j.Row.Idempotent,
 		Resumable:         j.Row.Resumable,
 		Released:          st.released,
-		Runs:              st.runs,
-		Sent:              st.sent,
-		MaxSent:           j.Row.MaxAttempts,
+		Attempts:          st.runs,
+		SentAttempts:      st.sent,
+		MaxSentAttempts:   j.Row.MaxAttempts,
 		EarlierMayHaveRun: st.uncertain,
-		BudgetLeft:        r.budgets.left(j.Workspace, grant.Endpoint.ID, j.Row.Target),
+		BudgetAvailable:   r.budgets.left(j.Workspace, grant.Endpoint.ID, j.Row.Target),
 		TimeLeft:          j.Left(ctx),
 	})
 	r.cfg.OnStep(d.Step)
@@ -217,7 +217,7 @@
 		f.Answer.WriteTo(sink.(job.HeaderSink))
 		return nil, false
 	}
-	if d.Step == retry.Again {
+	if d.Step == retry.Rerun {
 		if f.Kind != retry.NotSent {
 			r.budgets.spend(j.Workspace, grant.Endpoint.ID, j.Row.Target)
 		}
@@ -236,11 +236,11 @@
 
 var codeByFailure = map[retry.Failure]outcome.Code{
 	retry.NotSent:                outcome.CodeEndpointLost,
-	retry.RefusedBeforeExecution: outcome.CodeEndpointBusy,
+	retry.RefusedBeforeExecution: outcome.CodeEndpointRefused,
 	retry.LinkLost:               outcome.CodeStalled,
 	retry.GenerationLost:         outcome.CodeEndpointLost,
-	retry.Protocol:               outcome.CodeEndpointBad,
-	retry.AnsweredError:          outcome.CodeEndpointBad,
+	retry.ProtocolError:          outcome.CodeEndpointProtocolError,
+	retry.AnsweredError:          outcome.CodeEndpointProtocolError,
 	retry.CallerGone:             outcome.CodeCallerGone,
 }
 
@@ -249,7 +249,7 @@
 func failureCode(ctx context.Context, f *attempt.Failure) outcome.Code {
 	switch {
 	case clock.Expired(ctx):
-		return outcome.CodeDeadline
+		return outcome.CodeDeadlineUnreachable
 	case ctx.Err() != nil:
 		return outcome.CodeCallerGone
 	default:
@@ -263,5 +263,5 @@
 func (st *state) failed(ctx context.Context, o outcome.Outcome, f *attempt.Failure) *outcome.Error {
 	err := outcome.New(o, failureCode(ctx, f), "%s: %v", f.Kind, f.Err)
 	err.Delivered = st.released
-	return err.After(retryAfterFailure)
+	return err.WithRetryAfter(retryAfterFailure)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -194,7 +194,7 @@
 // kindOf tells a broken link from an endpoint that sent what makes no sense.
 func kindOf(err error) retry.Failure {
 	if errors.Is(err, errNotAnAnswer) {
-		return retry.Protocol
+		return retry.ProtocolError
 	}
 	return retry.LinkLost
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -210,7 +210,7 @@
 		_, _ = io.WriteString(c, "no answer at all\r\n\r\n")
 	})
 	_, f = newPool().Do(ctx, p.endpoint, request("a"), upstream.Sending{})
-	g.Expect(f.Kind).To(Equal(retry.Protocol))
+	g.Expect(f.Kind).To(Equal(retry.ProtocolError))
 }
 
 func TestAnswersThatBreakOffAreNotWhole(t *testing.T) {
--- a/pkg/fencing/fencing.go
+++ b/pkg/fencing/fencing.go
@@ -33,7 +33,7 @@
 )
 
 // Belief is a fleet list and its revision.
-type Belief struct {
+type FleetSnapshot struct {
 	Revision revision.ID
 	List     *fleet.List
 }
@@ -41,21 +41,21 @@
 // Orderer returns the VM that gives the orders of a data centre; none if the
 // data centre has no live entry.
 func Orderer(l *fleet.List, dataCenter string) (vm string, ok bool) {
-	var best uint64
+	var bestWeight uint64
 	for _, v := range l.Entries() {
 		if v.State != fleet.Live || v.DataCenter != dataCenter {
 			continue
 		}
-		rank := xxhash.Sum64String("orders/" + dataCenter + "\x00" + v.ID)
-		if !ok || rank > best {
-			vm, best, ok = v.ID, rank, true
+		weight := xxhash.Sum64String("orders/" + dataCenter + "\x00" + v.ID)
+		if !ok || weight > bestWeight {
+			vm, bestWeight, ok = v.ID, weight, true
 		}
 	}
 	return vm, ok
 }
 
 // Observed is what an engine last said of its models.
-type Observed struct {
+type EngineReport struct {
 	Endpoint string
 	// Fencing is the highest number that the engine has taken.
 	Fencing uint64
@@ -73,45 +73,45 @@
 // Plan gives the orders that bring the observed engines to what is desired.
 // Engines that were not observed get none. At most maxLoading engines load at
 // once; unloading is not limited.
-func Plan(b Belief, dataCenter string, observed []Observed, maxLoading int) []Order {
+func Plan(snapshot FleetSnapshot, dataCenter string, reports []EngineReport, maxLoading int) []Order {
 	loading := 0
-	for _, o := range observed {
-		if len(o.Loading) > 0 {
+	for _, r := range reports {
+		if len(r.Loading) > 0 {
 			loading++
 		}
 	}
-	slices.SortFunc(observed, func(a, c Observed) int { return strings.Compare(a.Endpoint, c.Endpoint) })
-	var out []Order
-	for _, o := range observed {
-		e, ok := b.List.Endpoint(o.Endpoint)
+	slices.SortFunc(reports, func(a, c EngineReport) int { return strings.Compare(a.Endpoint, c.Endpoint) })
+	var orders []Order
+	for _, r := range reports {
+		e, ok := snapshot.List.Endpoint(r.Endpoint)
 		if !ok || e.DataCenter != dataCenter || e.Type != fleet.Engine || len(e.Desired) == 0 {
 			continue
 		}
-		if o.Fencing > uint64(b.Revision) || settled(e.Desired, o) {
+		if r.Fencing > uint64(snapshot.Revision) || converged(e.Desired, r) {
 			continue
 		}
-		if needsLoad(e.Desired, o) {
-			if len(o.Loading) == 0 && loading >= maxLoading {
+		if needsLoad(e.Desired, r) {
+			if len(r.Loading) == 0 && loading >= maxLoading {
 				continue
 			}
-			if len(o.Loading) == 0 {
+			if len(r.Loading) == 0 {
 				loading++
 			}
 		}
-		out = append(out, Order{Endpoint: e, Fencing: uint64(b.Revision), Desired: e.Desired})
+		orders = append(orders, Order{Endpoint: e, Fencing: uint64(snapshot.Revision), Desired: e.Desired})
 	}
-	return out
+	return orders
 }
 
 // settled reports whether the engine has, or is loading, just what is desired.
-func settled(desired []string, o Observed) bool {
-	has := append(slices.Clone(o.Loaded), o.Loading...)
-	return sameSet(desired, has)
+func converged(desired []string, r EngineReport) bool {
+	present := append(slices.Clone(r.Loaded), r.Loading...)
+	return sameSet(desired, present)
 }
 
-func needsLoad(desired []string, o Observed) bool {
+func needsLoad(desired []string, r EngineReport) bool {
 	for _, m := range desired {
-		if !slices.Contains(o.Loaded, m) && !slices.Contains(o.Loading, m) {
+		if !slices.Contains(r.Loaded, m) && !slices.Contains(r.Loading, m) {
 			return true
 		}
 	}
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -63,8 +63,8 @@
 	strict := Hook(func(name Name, detail string) {
 		panic(fmt.Sprintf("invariant %s violated: %s", name, detail))
 	})
-	old := hook.Swap(&strict)
-	return func() { hook.Store(old) }
+	previous := hook.Swap(&strict)
+	return func() { hook.Store(previous) }
 }
 
 // Check reports a violation if ok is false, and returns ok.
--- a/pkg/lengths/lengths.go
+++ b/pkg/lengths/lengths.go
@@ -67,12 +67,12 @@
 
 // Bound returns the projection of a request whose output is bounded: beyond the
 // bound it holds nothing. A bound of zero is none.
-func (p Projection) Bound(generated, most int) Projection {
-	if most <= 0 {
+func (p Projection) Bound(generated, maxOutput int) Projection {
+	if maxOutput <= 0 {
 		return p
 	}
 	for i, h := range Horizons {
-		if i > 0 && float64(generated)+h > float64(most) {
+		if i > 0 && float64(generated)+h > float64(maxOutput) {
 			p.Mean[i], p.Variance[i] = 0, 0
 		}
 	}
@@ -83,43 +83,43 @@
 	// bucketRatio is the ratio of neighbouring bucket bounds.
 	bucketRatio = 1.3
 	// buckets cover outputs up to about 100,000 tokens.
-	buckets = 44
+	numBuckets = 44
 	// memory is the number of ended requests after which counts have decayed
 	// to about a third.
-	memory = 150
+	decayRequests = 150
 	// lean is how many requests the estimate of a kind counts for in that of a
 	// workspace, and leanPrior how many the prior counts for in that of a kind.
-	lean      = 4
-	leanPrior = 1
+	parentWeight = 4
+	priorWeight  = 1
 	// PriorHazard is the share of outputs that end in each bucket from priorFrom
 	// tokens on, as assumed while nothing is known. From 0.231 on the expected
 	// length is finite. Before priorFrom few are assumed to end.
-	PriorHazard      = 0.25
-	priorFrom        = 64
-	priorHazardBelow = 0.03
+	PriorHazard            = 0.25
+	priorHazardMinTokens   = 64
+	shortOutputPriorHazard = 0.03
 	// maxChanges to a settled group, one with so many requests, go by before its
 	// survival is computed anew.
-	maxChanges = 16
-	settled    = 32
+	maxStaleChanges      = 16
+	staleReadMinRequests = 32
 	// rescaleAt keeps the growing weights of forward decay within range.
-	rescaleAt = 1e9
+	maxDecayWeight = 1e9
 )
 
-var bounds = makeBounds()
+var bucketBounds = makeBucketBounds()
 
-func makeBounds() [buckets + 1]float64 {
-	var b [buckets + 1]float64
-	for i := 1; i <= buckets; i++ {
+func makeBucketBounds() [numBuckets + 1]float64 {
+	var b [numBuckets + 1]float64
+	for i := 1; i <= numBuckets; i++ {
 		b[i] = math.Max(b[i-1]+1, math.Pow(bucketRatio, float64(i)))
 	}
 	return b
 }
 
-func bucketOf(tokens int) int {
-	lo, hi := 0, buckets-1
+func bucketIndex(tokens int) int {
+	lo, hi := 0, numBuckets-1
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if bounds[mid] <= float64(tokens) {
+		if bucketBounds[mid] <= float64(tokens) {
 			lo = mid
 		} else {
 			hi = mid - 1
@@ -133,30 +133,30 @@
 
 // group counts survival for one key, or for a kind over all workspaces.
 type group struct {
-	parent  *group
-	prior   float64
-	weight  float64
-	reached [buckets]float64
-	ended   [buckets]float64
-	surv    [buckets + 1]float64
+	parent         *group
+	priorHazard    float64
+	weight         float64
+	reached        [numBuckets]float64
+	ended          [numBuckets]float64
+	cachedSurvival [numBuckets + 1]float64
 	// changes counts those that surv doesn't show yet.
-	changes int
+	changesSinceCached int
 }
 
-func newGroup(parent *group, prior float64) *group {
-	return &group{parent: parent, prior: prior, weight: 1, changes: maxChanges}
+func newGroup(parent *group, priorHazard float64) *group {
+	return &group{parent: parent, priorHazard: priorHazard, weight: 1, changesSinceCached: maxStaleChanges}
 }
 
-func (g *group) reach(b int) {
+func (g *group) recordReached(b int) {
 	g.reached[b] += g.weight
-	g.changes++
+	g.changesSinceCached++
 }
 
-func (g *group) end(b int) {
+func (g *group) recordEnded(b int) {
 	g.ended[b] += g.weight
-	g.weight *= 1 + 1.0/memory
-	g.changes++
-	if g.weight > rescaleAt {
+	g.weight *= 1 + 1.0/decayRequests
+	g.changesSinceCached++
+	if g.weight > maxDecayWeight {
 		g.rescale()
 	}
 }
@@ -173,47 +173,47 @@
 	reached := g.reached[b] / g.weight
 	ended := g.ended[b] / g.weight
 	if g.parent == nil {
-		return min((ended+leanPrior*g.priorAt(b))/(reached+leanPrior), 1)
+		return min((ended+priorWeight*g.priorHazardAt(b))/(reached+priorWeight), 1)
 	}
-	return min((ended+lean*g.parent.hazard(b))/(reached+lean), 1)
+	return min((ended+parentWeight*g.parent.hazard(b))/(reached+parentWeight), 1)
 }
 
-func (g *group) priorAt(b int) float64 {
-	if bounds[b] < priorFrom {
-		return priorHazardBelow
+func (g *group) priorHazardAt(b int) float64 {
+	if bucketBounds[b] < priorHazardMinTokens {
+		return shortOutputPriorHazard
 	}
-	return g.prior
+	return g.priorHazard
 }
 
 // survival returns the chance, by bucket bound, that an output is longer.
-func (g *group) survival() *[buckets + 1]float64 {
-	if g.changes == 0 || g.changes < maxChanges && g.reached[0] > settled*g.weight {
-		return &g.surv
+func (g *group) survival() *[numBuckets + 1]float64 {
+	if g.changesSinceCached == 0 || g.changesSinceCached < maxStaleChanges && g.reached[0] > staleReadMinRequests*g.weight {
+		return &g.cachedSurvival
 	}
-	g.surv[0] = 1
-	for b := range buckets {
-		g.surv[b+1] = g.surv[b] * (1 - g.hazard(b))
+	g.cachedSurvival[0] = 1
+	for b := range numBuckets {
+		g.cachedSurvival[b+1] = g.cachedSurvival[b] * (1 - g.hazard(b))
 	}
-	g.changes = 0
-	return &g.surv
+	g.changesSinceCached = 0
+	return &g.cachedSurvival
 }
 
 // longer gives the chance that an output is longer than tokens, by linear
 // interpolation within a bucket.
-func longer(s *[buckets + 1]float64, tokens float64) float64 {
-	b := bucketOf(int(tokens))
-	if b == buckets-1 && tokens >= bounds[buckets] {
-		return s[buckets]
+func survivalAt(s *[numBuckets + 1]float64, tokens float64) float64 {
+	b := bucketIndex(int(tokens))
+	if b == numBuckets-1 && tokens >= bucketBounds[numBuckets] {
+		return s[numBuckets]
 	}
-	part := (tokens - bounds[b]) / (bounds[b+1] - bounds[b])
-	return s[b] + part*(s[b+1]-s[b])
+	fraction := (tokens - bucketBounds[b]) / (bucketBounds[b+1] - bucketBounds[b])
+	return s[b] + fraction*(s[b+1]-s[b])
 }
 
 // Estimator learns lengths per key.
 type Estimator struct {
-	kinds map[string]*group
-	keys  map[Key]*group
-	prior float64
+	kinds       map[string]*group
+	keys        map[Key]*group
+	priorHazard float64
 }
 
 // MaxKeys bounds the keys kept apart; further ones share their kind's group.
@@ -221,13 +221,13 @@
 
 // New makes an estimator that knows only the prior.
 func New(priorHazard float64) *Estimator {
-	return &Estimator{kinds: map[string]*group{}, keys: map[Key]*group{}, prior: priorHazard}
+	return &Estimator{kinds: map[string]*group{}, keys: map[Key]*group{}, priorHazard: priorHazard}
 }
 
 func (e *Estimator) kind(name string) *group {
 	g := e.kinds[name]
 	if g == nil {
-		g = newGroup(nil, e.prior)
+		g = newGroup(nil, e.priorHazard)
 		e.kinds[name] = g
 	}
 	return g
@@ -241,40 +241,40 @@
 	if len(e.keys) >= MaxKeys {
 		return kind
 	}
-	g := newGroup(kind, e.prior)
+	g := newGroup(kind, e.priorHazard)
 	e.keys[k] = g
 	return g
 }
 
 // Run follows one request. The zero value is not usable; see Start.
-type Run struct {
+type Tracker struct {
 	group  *group
 	bucket int
 }
 
 // Start counts a request that begins to decode.
-func (e *Estimator) Start(k Key) Run {
-	r := Run{group: e.group(k)}
-	r.reach(0)
+func (e *Estimator) Start(k Key) Tracker {
+	r := Tracker{group: e.group(k)}
+	r.recordReached(0)
 	return r
 }
 
-func (r *Run) reach(b int) {
-	r.group.reach(b)
+func (r *Tracker) recordReached(b int) {
+	r.group.recordReached(b)
 	if r.group.parent != nil {
-		r.group.parent.reach(b)
+		r.group.parent.recordReached(b)
 	}
 }
 
 // Advance counts the buckets that a request has newly reached, and reports
 // whether there were any.
-func (r *Run) Advance(generated int) bool {
-	b := bucketOf(generated)
+func (r *Tracker) Advance(generated int) bool {
+	b := bucketIndex(generated)
 	if b <= r.bucket {
 		return false
 	}
 	for i := r.bucket + 1; i <= b; i++ {
-		r.reach(i)
+		r.recordReached(i)
 	}
 	r.bucket = b
 	return true
@@ -282,11 +282,11 @@
 
 // End counts a request whose output was complete with this many tokens. A
 // request that was cut short must not be counted.
-func (r *Run) End(length int) {
+func (r *Tracker) End(length int) {
 	r.Advance(length)
-	r.group.end(r.bucket)
+	r.group.recordEnded(r.bucket)
 	if r.group.parent != nil {
-		r.group.parent.end(r.bucket)
+		r.group.parent.recordEnded(r.bucket)
 	}
 }
 
@@ -296,32 +296,32 @@
 }
 
 // Project gives the memory that a running request is expected to hold.
-func (r *Run) Project(prompt, generated int) Projection {
+func (r *Tracker) Project(prompt, generated int) Projection {
 	return project(r.group, prompt, generated)
 }
 
 func project(g *group, prompt, generated int) Projection {
 	s := g.survival()
-	now := max(longer(s, float64(generated)), 1e-9)
-	var out Projection
+	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	var projection Projection
 	for i, h := range Horizons {
-		alive := min(longer(s, float64(generated)+h)/now, 1)
-		held := float64(prompt+generated) + h
-		out.Mean[i] = alive * held
-		out.Variance[i] = alive * (1 - alive) * held * held
+		running := min(survivalAt(s, float64(generated)+h)/reachedNow, 1)
+		tokens := float64(prompt+generated) + h
+		projection.Mean[i] = running * tokens
+		projection.Variance[i] = running * (1 - running) * tokens * tokens
 	}
-	return out
+	return projection
 }
 
 // Remaining gives the expected number of tokens still to come.
 func (e *Estimator) Remaining(k Key, generated int) float64 {
 	s := e.group(k).survival()
-	now := max(longer(s, float64(generated)), 1e-9)
-	b := bucketOf(generated)
-	first := (bounds[b+1] - float64(generated)) * (now + s[b+1]) / 2
-	sum := first
-	for i := b + 1; i < buckets; i++ {
-		sum += (bounds[i+1] - bounds[i]) * (s[i] + s[i+1]) / 2
+	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	b := bucketIndex(generated)
+	currentBucket := (bucketBounds[b+1] - float64(generated)) * (reachedNow + s[b+1]) / 2
+	sum := currentBucket
+	for i := b + 1; i < numBuckets; i++ {
+		sum += (bucketBounds[i+1] - bucketBounds[i]) * (s[i] + s[i+1]) / 2
 	}
-	return sum / now
+	return sum / reachedNow
 }
--- a/pkg/lengths/lengths_test.go
+++ b/pkg/lengths/lengths_test.go
@@ -10,7 +10,7 @@
 	"github.com/bridgehoist/bridgehoist/pkg/lengths"
 )
 
-func TestLearnsTheMean(t *testing.T) {
+func TestEstimatesMeanLength(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	e := lengths.New(lengths.PriorHazard)
@@ -29,7 +29,7 @@
 
 // TestFollowsAShiftBeforeItEnds: long requests that still run raise the
 // estimate for new ones.
-func TestFollowsAShiftBeforeItEnds(t *testing.T) {
+func TestRunningRequestsRaiseEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	k := lengths.Key{Workspace: "w", Kind: "k"}
@@ -46,7 +46,7 @@
 }
 
 // TestANewWorkspaceLeansOnItsKind: no request of the workspace is needed.
-func TestANewWorkspaceLeansOnItsKind(t *testing.T) {
+func TestNewWorkspaceUsesKindEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	for range 200 {
@@ -75,7 +75,7 @@
 
 // TestANewKindIsNotTakenForShort: memory must be kept for what nothing is known
 // of.
-func TestANewKindIsNotTakenForShort(t *testing.T) {
+func TestUnknownKindIsNotAssumedShort(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	expected := e.Remaining(lengths.Key{Workspace: "w", Kind: "new"}, 0)
--- a/pkg/limits/example_test.go
+++ b/pkg/limits/example_test.go
@@ -8,11 +8,11 @@
 
 func ExampleCounter() {
 	c := limits.New()
-	c.SetEntries(3)
+	c.SetEntryCount(3)
 	k := limits.Key{Workspace: "hetauda-plant", Kind: "shift-report"}
-	c.SetPeer("entry-2", map[limits.Hash]int{k.Hash(): 63})
+	c.SetPeerUsage("entry-2", map[limits.Hash]int{k.Hash(): 63})
 	fmt.Println(c.Allows(k, 64))
-	c.Take(k, 64)
+	c.Acquire(k, 64)
 	fmt.Println(c.Allows(k, 64))
 	// Output:
 	// true
--- a/pkg/limits/limits.go
+++ b/pkg/limits/limits.go
@@ -24,7 +24,7 @@
 // pressure is the share of a limit from which on its use is told: the known use
 // of all, or what it would be if all entries used as much as this one. What no
 // entry tells is therefore below this share in sum.
-const pressure = 0.05
+const publishThreshold = 0.05
 
 // Key names a limit: a workspace and a kind.
 type Key struct{ Workspace, Kind string }
@@ -38,67 +38,67 @@
 
 // Counter holds one entry's view. The caller serialises calls.
 type Counter struct {
-	own     map[Key]int
-	limits  map[Key]int
-	peers   map[string]map[Hash]int
-	sums    map[Hash]int
-	entries int
-	doubt   bool
+	own       map[Key]int
+	limits    map[Key]int
+	peers     map[string]map[Hash]int
+	peerSums  map[Hash]int
+	entries   int
+	uncertain bool
 }
 
 // New makes a counter of a single entry.
 func New() *Counter {
 	return &Counter{
-		own:     map[Key]int{},
-		limits:  map[Key]int{},
-		peers:   map[string]map[Hash]int{},
-		sums:    map[Hash]int{},
-		entries: 1,
+		own:      map[Key]int{},
+		limits:   map[Key]int{},
+		peers:    map[string]map[Hash]int{},
+		peerSums: map[Hash]int{},
+		entries:  1,
 	}
 }
 
 // SetEntries sets the number of published entries, this one included.
-func (c *Counter) SetEntries(n int) { c.entries = max(n, 1) }
+func (c *Counter) SetEntryCount(n int) { c.entries = max(n, 1) }
 
 // SetDoubt says whether a peer that is counted has not been heard of lately.
-func (c *Counter) SetDoubt(doubt bool) { c.doubt = doubt }
+func (c *Counter) SetUncertain(uncertain bool) { c.uncertain = uncertain }
 
 // SetPeer replaces what a peer said of its use; nil forgets the peer.
-func (c *Counter) SetPeer(vm string, use map[Hash]int) {
+func (c *Counter) SetPeerUsage(vm string, usage map[Hash]int) {
 	for k, n := range c.peers[vm] {
-		c.sums[k] -= n
-		if c.sums[k] == 0 {
-			delete(c.sums, k)
+		c.peerSums[k] -= n
+		if c.peerSums[k] == 0 {
+			delete(c.peerSums, k)
 		}
 	}
-	if use == nil {
+	if usage == nil {
 		delete(c.peers, vm)
 		return
 	}
-	c.peers[vm] = use
-	for k, n := range use {
-		c.sums[k] += n
+	c.peers[vm] = usage
+	for k, n := range usage {
+		c.peerSums[k] += n
 	}
 }
 
 // Allows reports whether one more may be taken under a limit.
 func (c *Counter) Allows(k Key, limit int) bool {
 	own := c.own[k]
-	if c.doubt && own < limit/c.entries {
+	if c.uncertain && own < limit/c.entries {
 		return true
 	}
-	return own+c.others(k) < limit
+	return own+c.peerUsage(k) < limit
 }
 
-func (c *Counter) others(k Key) int {
-	if len(c.sums) == 0 {
+func (c *Counter) peerUsage(k Key) int {
+	if len(c.peerSums) == 0 {
 		return 0
 	}
-	return c.sums[k.Hash()]
+	return c.peerSums[k.Hash()]
 }
 
 // Take counts one more under a limit.
-func (c *Counter) Take(k Key, limit int) {
+func (c *Counter) Acquire(k Key, limit int) {
 	c.own[k]++
 	c.limits[k] = limit
 }
@@ -113,31 +113,31 @@
 }
 
 // Use is the own use of one limit.
-type Use struct {
+type Usage struct {
 	Hash  Hash
 	Count int
 
-	share float64
+	utilization float64
 }
 
 // Published returns the own use that the others need to know.
-func (c *Counter) Published() []Use {
-	var out []Use
+func (c *Counter) PublishedUsage() []Usage {
+	var usage []Usage
 	for k, n := range c.own {
 		limit := c.limits[k]
 		if limit == 0 {
 			continue
 		}
-		share := float64(max(n+c.others(k), n*c.entries)) / float64(limit)
-		if share >= pressure {
-			out = append(out, Use{k.Hash(), n, share})
+		utilization := float64(max(n+c.peerUsage(k), n*c.entries)) / float64(limit)
+		if utilization >= publishThreshold {
+			usage = append(usage, Usage{k.Hash(), n, utilization})
 		}
 	}
-	slices.SortFunc(out, func(a, b Use) int {
-		return cmp.Or(cmp.Compare(b.share, a.share), cmp.Compare(a.Hash, b.Hash))
+	slices.SortFunc(usage, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.utilization, a.utilization), cmp.Compare(a.Hash, b.Hash))
 	})
-	return out[:min(len(out), MaxPublished)]
+	return usage[:min(len(usage), MaxPublished)]
 }
 
 // Sum returns the use known over all entries.
-func (c *Counter) Sum(k Key) int { return c.own[k] + c.others(k) }
+func (c *Counter) TotalUsage(k Key) int { return c.own[k] + c.peerUsage(k) }
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -14,27 +14,27 @@
 
 // overshoot plays entries that all want as much as they can get and hear of each
 // other every so many steps, and returns the highest use above the limit.
-func overshoot(entries, limit, newsEvery int, sides int) int {
+func maxOvershoot(entries, limit, exchangeInterval int, partitions int) int {
 	rng := rand.New(rand.NewPCG(4, 4))
-	all := make([]*limits.Counter, entries)
+	counters := make([]*limits.Counter, entries)
 	own := make([]int, entries)
-	for i := range all {
-		all[i] = limits.New()
-		all[i].SetEntries(entries)
+	for i := range counters {
+		counters[i] = limits.New()
+		counters[i].SetEntryCount(entries)
 	}
 	worst := 0
 	for step := range 3000 {
 		i := rng.IntN(entries)
-		if all[i].Allows(key, limit) {
-			all[i].Take(key, limit)
+		if counters[i].Allows(key, limit) {
+			counters[i].Acquire(key, limit)
 			own[i]++
 		}
 		if j := rng.IntN(entries); own[j] > 0 && rng.IntN(3) == 0 {
-			all[j].Release(key)
+			counters[j].Release(key)
 			own[j]--
 		}
-		if step%newsEvery == 0 {
-			tell(all, sides)
+		if step%exchangeInterval == 0 {
+			exchangeUsage(counters, partitions)
 		}
 		sum := 0
 		for _, n := range own {
@@ -45,15 +45,15 @@
 	return worst
 }
 
-func tell(all []*limits.Counter, sides int) {
-	for i, from := range all {
-		use := map[limits.Hash]int{}
-		for _, u := range from.Published() {
-			use[u.Hash] = u.Count
+func exchangeUsage(counters []*limits.Counter, partitions int) {
+	for i, from := range counters {
+		usage := map[limits.Hash]int{}
+		for _, u := range from.PublishedUsage() {
+			usage[u.Hash] = u.Count
 		}
-		for j, to := range all {
-			if i != j && i%sides == j%sides {
-				to.SetPeer(fmt.Sprint(i), use)
+		for j, to := range counters {
+			if i != j && i%partitions == j%partitions {
+				to.SetPeerUsage(fmt.Sprint(i), usage)
 			}
 		}
 	}
@@ -62,48 +62,48 @@
 func TestOvershootIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	for _, entries := range []int{3, 9, 30} {
-		g.Expect(overshoot(entries, 64, 1, 1)).To(BeNumerically("<=", 2), "%d entries with fresh news", entries)
-		late := overshoot(entries, 64, 10, 1)
-		t.Logf("%d entries, news every 10 requests: %d over 64", entries, late)
-		g.Expect(late).To(BeNumerically("<=", 12))
-		cut := overshoot(entries, 64, 10, 2)
-		t.Logf("%d entries, cut in two: %d over 64", entries, cut)
-		g.Expect(cut).To(BeNumerically("<=", 64+12))
+		g.Expect(maxOvershoot(entries, 64, 1, 1)).To(BeNumerically("<=", 2), "%d entries with fresh news", entries)
+		delayed := maxOvershoot(entries, 64, 10, 1)
+		t.Logf("%d entries, news every 10 requests: %d over 64", entries, delayed)
+		g.Expect(delayed).To(BeNumerically("<=", 12))
+		partitioned := maxOvershoot(entries, 64, 10, 2)
+		t.Logf("%d entries, cut in two: %d over 64", entries, partitioned)
+		g.Expect(partitioned).To(BeNumerically("<=", 64+12))
 	}
 }
 
-func TestFloorInDoubt(t *testing.T) {
+func TestFloorWhenPeerUsageIsUncertain(t *testing.T) {
 	g := NewWithT(t)
 	c := limits.New()
-	c.SetEntries(4)
-	c.SetPeer("gone", map[limits.Hash]int{key.Hash(): 1000})
+	c.SetEntryCount(4)
+	c.SetPeerUsage("gone", map[limits.Hash]int{key.Hash(): 1000})
 	g.Expect(c.Allows(key, 20)).To(BeFalse())
-	c.SetDoubt(true)
+	c.SetUncertain(true)
 	for range 5 {
 		g.Expect(c.Allows(key, 20)).To(BeTrue())
-		c.Take(key, 20)
+		c.Acquire(key, 20)
 	}
 	g.Expect(c.Allows(key, 20)).To(BeFalse())
-	c.SetPeer("gone", nil)
+	c.SetPeerUsage("gone", nil)
 	g.Expect(c.Allows(key, 20)).To(BeTrue())
 }
 
 // TestManySmallUsesAreSeen: many entries with one each must not add up unseen.
-func TestManySmallUsesAreSeen(t *testing.T) {
+func TestManySmallUsagesArePublished(t *testing.T) {
 	g := NewWithT(t)
 	const entries, limit = 100, 64
-	all := make([]*limits.Counter, entries)
-	for i := range all {
-		all[i] = limits.New()
-		all[i].SetEntries(entries)
+	counters := make([]*limits.Counter, entries)
+	for i := range counters {
+		counters[i] = limits.New()
+		counters[i].SetEntryCount(entries)
 	}
 	taken := 0
-	for _, c := range all {
+	for _, c := range counters {
 		if c.Allows(key, limit) {
-			c.Take(key, limit)
+			c.Acquire(key, limit)
 			taken++
 		}
-		tell(all, 1)
+		exchangeUsage(counters, 1)
 	}
 	g.Expect(taken).To(Equal(limit))
 }
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -63,36 +63,36 @@
 // The codes, grouped by who can act on them.
 const (
 	// Callers.
-	CodeBadRequest       Code = "bad_request"
-	CodeTooLarge         Code = "body_too_large"
-	CodeMethod           Code = "method_not_allowed"
-	CodeUnauthenticated  Code = "unauthenticated"
-	CodeForbidden        Code = "workspace_mismatch"
-	CodeUnknownKind      Code = "unknown_kind"
-	CodeTicketRequired   Code = "ticket_required"
-	CodeTicketInvalid    Code = "ticket_invalid"
-	CodeTicketExpired    Code = "ticket_expired"
-	CodeTicketConflict   Code = "ticket_conflict"
-	CodeCallerGone       Code = "caller_gone"
-	CodeAnswerNotKept    Code = "answer_not_kept"
-	CodeOwnerUnreachable Code = "owner_unreachable"
-	CodeOwnerReplaced    Code = "owner_replaced"
+	CodeBadRequest        Code = "bad_request"
+	CodeBodyTooLarge      Code = "body_too_large"
+	CodeMethodNotAllowed  Code = "method_not_allowed"
+	CodeUnauthenticated   Code = "unauthenticated"
+	CodeWorkspaceMismatch Code = "workspace_mismatch"
+	CodeUnknownKind       Code = "unknown_kind"
+	CodeTicketRequired    Code = "ticket_required"
+	CodeTicketInvalid     Code = "ticket_invalid"
+	CodeTicketExpired     Code = "ticket_expired"
+	CodeTicketConflict    Code = "ticket_conflict"
+	CodeCallerGone        Code = "caller_gone"
+	CodeAnswerNotKept     Code = "answer_not_kept"
+	CodeOwnerUnreachable  Code = "owner_unreachable"
+	CodeOwnerReplaced     Code = "owner_replaced"
 	// Load.
-	CodeLimit     Code = "limit_reached"
-	CodeQueueFull Code = "queue_full"
-	CodeBusy      Code = "entry_busy"
-	CodeDeadline  Code = "deadline_unreachable"
-	CodeQueueTime Code = "queue_time_exceeded"
+	CodeLimitReached        Code = "limit_reached"
+	CodeQueueFull           Code = "queue_full"
+	CodeEntryBusy           Code = "entry_busy"
+	CodeDeadlineUnreachable Code = "deadline_unreachable"
+	CodeQueueTimeExceeded   Code = "queue_time_exceeded"
 	// Fleet.
-	CodeNoEndpoint   Code = "no_endpoint"
-	CodeEndpointLost Code = "endpoint_lost"
-	CodeEndpointBusy Code = "endpoint_refused"
+	CodeNoEndpoint      Code = "no_endpoint"
+	CodeEndpointLost    Code = "endpoint_lost"
+	CodeEndpointRefused Code = "endpoint_refused"
 	// CodeEndpointsThrottling: the endpoints have said that they take less than is asked for.
-	CodeEndpointsThrottling Code = "endpoints_throttling"
-	CodeEndpointBad         Code = "endpoint_protocol_error"
-	CodeStalled             Code = "stalled"
-	CodeStopping            Code = "stopping"
-	CodeNoTable             Code = "no_table"
+	CodeEndpointsThrottling   Code = "endpoints_throttling"
+	CodeEndpointProtocolError Code = "endpoint_protocol_error"
+	CodeStalled               Code = "stalled"
+	CodeStopping              Code = "stopping"
+	CodeNoTable               Code = "no_table"
 	// CodeQuarantined: the request crashes the endpoints that run it.
 	CodeQuarantined Code = "quarantined"
 )
@@ -129,34 +129,34 @@
 }
 
 // After returns a copy that tells the caller when to come back.
-func (e *Error) After(d time.Duration) *Error {
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
 var statusByCode = map[Code]int{
-	CodeBadRequest:      http.StatusBadRequest,
-	CodeTooLarge:        http.StatusRequestEntityTooLarge,
-	CodeMethod:          http.StatusMethodNotAllowed,
-	CodeUnauthenticated: http.StatusUnauthorized,
-	CodeForbidden:       http.StatusForbidden,
-	CodeUnknownKind:     http.StatusNotFound,
-	CodeTicketRequired:  http.StatusPreconditionRequired,
-	CodeTicketInvalid:   http.StatusBadRequest,
-	CodeTicketExpired:   http.StatusGone,
-	CodeTicketConflict:  http.StatusUnprocessableEntity,
-	CodeLimit:           http.StatusTooManyRequests,
-	CodeQueueFull:       http.StatusTooManyRequests,
+	CodeBadRequest:        http.StatusBadRequest,
+	CodeBodyTooLarge:      http.StatusRequestEntityTooLarge,
+	CodeMethodNotAllowed:  http.StatusMethodNotAllowed,
+	CodeUnauthenticated:   http.StatusUnauthorized,
+	CodeWorkspaceMismatch: http.StatusForbidden,
+	CodeUnknownKind:       http.StatusNotFound,
+	CodeTicketRequired:    http.StatusPreconditionRequired,
+	CodeTicketInvalid:     http.StatusBadRequest,
+	CodeTicketExpired:     http.StatusGone,
+	CodeTicketConflict:    http.StatusUnprocessableEntity,
+	CodeLimitReached:      http.StatusTooManyRequests,
+	CodeQueueFull:         http.StatusTooManyRequests,
 }
 
 // badGateway are the codes that blame an endpoint, where the request may have
 // run. Where it has not, the status is the promise of 503.
-var badGateway = map[Code]bool{CodeEndpointBad: true, CodeEndpointLost: true}
+var badGatewayCodes = map[Code]bool{CodeEndpointProtocolError: true, CodeEndpointLost: true}
 
 // Promises reports whether a status tells callers that their request has not
 // run and never will.
-func Promises(status int) bool {
+func StatusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -169,13 +169,13 @@
 // Status gives the HTTP status of the error.
 func (e *Error) Status() int {
 	s, ok := statusByCode[e.Code]
-	if ok && (e.Outcome == NotRun || !Promises(s)) {
+	if ok && (e.Outcome == NotRun || !StatusMeansNotRun(s)) {
 		return s
 	}
 	if e.Outcome == NotRun {
 		return http.StatusServiceUnavailable
 	}
-	if badGateway[e.Code] {
+	if badGatewayCodes[e.Code] {
 		return http.StatusBadGateway
 	}
 	return http.StatusGatewayTimeout
--- a/pkg/readiness/example_test.go
+++ b/pkg/readiness/example_test.go
@@ -7,9 +7,9 @@
 )
 
 func ExampleDecide() {
-	b := readiness.Beliefs{CaughtUp: true, HasValues: true, CutOff: true}
+	b := readiness.Conditions{CaughtUp: true, ConfigLoaded: true, Isolated: true}
 	fmt.Println(readiness.Decide(b))
-	b.Unservable = []string{"registry"}
+	b.UnservableTargets = []string{"registry"}
 	fmt.Println(readiness.Decide(b))
 	// Output:
 	// ready
--- a/pkg/readiness/readiness.go
+++ b/pkg/readiness/readiness.go
@@ -37,27 +37,27 @@
 }
 
 // Beliefs is what an entry knows of itself.
-type Beliefs struct {
+type Conditions struct {
 	// CaughtUp says that the store or the peers have answered since the start.
 	CaughtUp bool
 	// HasValues says that a table and a list of endpoints are in force.
-	HasValues bool
+	ConfigLoaded bool
 	// Stopping says that the process is being stopped.
 	Stopping bool
 	// Unservable are the targets that have endpoints, none of which is in reach.
-	Unservable []string
+	UnservableTargets []string
 	// CutOff says that no endpoint of any other data centre can be reached.
-	CutOff bool
+	Isolated bool
 }
 
 // Decide gives the state of an entry.
-func Decide(b Beliefs) State {
+func Decide(c Conditions) State {
 	switch {
-	case b.Stopping:
+	case c.Stopping:
 		return Stopping
-	case !b.CaughtUp || !b.HasValues:
+	case !c.CaughtUp || !c.ConfigLoaded:
 		return Starting
-	case b.CutOff && len(b.Unservable) > 0:
+	case c.Isolated && len(c.UnservableTargets) > 0:
 		return Stranded
 	default:
 		return Ready
--- a/pkg/readiness/readiness_test.go
+++ b/pkg/readiness/readiness_test.go
@@ -9,24 +9,26 @@
 )
 
 func TestDecide(t *testing.T) {
-	up := readiness.Beliefs{CaughtUp: true, HasValues: true}
-	with := func(change func(*readiness.Beliefs)) readiness.Beliefs {
-		b := up
+	ready := readiness.Conditions{CaughtUp: true, ConfigLoaded: true}
+	readyExcept := func(change func(*readiness.Conditions)) readiness.Conditions {
+		b := ready
 		change(&b)
 		return b
 	}
 	for _, c := range []struct {
 		name string
-		b    readiness.Beliefs
+		b    readiness.Conditions
 		want readiness.State
 	}{
-		{"nothing known", readiness.Beliefs{}, readiness.Starting},
-		{"no table", readiness.Beliefs{CaughtUp: true}, readiness.Starting},
-		{"all well", up, readiness.Ready},
-		{"cut off, but all is served", with(func(b *readiness.Beliefs) { b.CutOff = true }), readiness.Ready},
-		{"a target fails everywhere", with(func(b *readiness.Beliefs) { b.Unservable = []string{"desk"} }), readiness.Ready},
-		{"others could serve it", with(func(b *readiness.Beliefs) { b.CutOff, b.Unservable = true, []string{"desk"} }), readiness.Stranded},
-		{"stops", with(func(b *readiness.Beliefs) { b.Stopping, b.CutOff, b.Unservable = true, true, []string{"desk"} }), readiness.Stopping},
+		{"nothing known", readiness.Conditions{}, readiness.Starting},
+		{"no table", readiness.Conditions{CaughtUp: true}, readiness.Starting},
+		{"all well", ready, readiness.Ready},
+		{"cut off, but all is served", readyExcept(func(b *readiness.Conditions) { b.Isolated = true }), readiness.Ready},
+		{"a target fails everywhere", readyExcept(func(b *readiness.Conditions) { b.UnservableTargets = []string{"desk"} }), readiness.Ready},
+		{"others could serve it", readyExcept(func(b *readiness.Conditions) { b.Isolated, b.UnservableTargets = true, []string{"desk"} }), readiness.Stranded},
+		{"stops", readyExcept(func(b *readiness.Conditions) {
+			b.Stopping, b.Isolated, b.UnservableTargets = true, true, []string{"desk"}
+		}), readiness.Stopping},
 	} {
 		NewWithT(t).Expect(readiness.Decide(c.b)).To(Equal(c.want), c.name)
 	}
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -8,54 +8,54 @@
 // each first attempt fills by Share and each retry empties by one.
 type Budget struct {
 	// Share of first attempts that may be retried, such as 0.1.
-	Share float64
+	Ratio float64
 	// Burst is the most that can be saved up.
 	Burst float64
 
-	saved float64
+	tokens float64
 }
 
 // DefaultShare and DefaultBurst suit a fleet whose endpoints rarely fail.
 const (
-	DefaultShare = 0.1
+	DefaultRatio = 0.1
 	DefaultBurst = 10
 )
 
 // NewBudget makes a full budget with the defaults.
-func NewBudget() *Budget { return NewBudgetOf(DefaultShare, DefaultBurst) }
+func NewBudget() *Budget { return NewBudgetWith(DefaultRatio, DefaultBurst) }
 
 // NewBudgetOf makes a full budget.
-func NewBudgetOf(share, burst float64) *Budget {
-	return &Budget{Share: share, Burst: burst, saved: burst}
+func NewBudgetWith(ratio, burst float64) *Budget {
+	return &Budget{Ratio: ratio, Burst: burst, tokens: burst}
 }
 
 // First records a first attempt.
-func (b *Budget) First() { b.saved = min(b.saved+b.Share, b.Burst) }
+func (b *Budget) RecordFirstAttempt() { b.tokens = min(b.tokens+b.Ratio, b.Burst) }
 
 // Left reports whether a retry is allowed.
-func (b *Budget) Left() bool { return b.saved >= 1 }
+func (b *Budget) Available() bool { return b.tokens >= 1 }
 
 // Spend takes one retry; it returns false if none is left.
 func (b *Budget) Spend() bool {
-	if !b.Left() {
+	if !b.Available() {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
 // Backoff bounds.
 const (
 	backoffBase = 20 * time.Millisecond
-	backoffMax  = 2 * time.Second
+	maxBackoff  = 2 * time.Second
 )
 
 // Backoff gives the wait before the n-th retry, counted from one, with full
 // jitter.
 func Backoff(n int, random func() float64) time.Duration {
-	limit := backoffMax
+	limit := maxBackoff
 	if n < 8 {
-		limit = min(backoffBase<<n, backoffMax)
+		limit = min(backoffBase<<n, maxBackoff)
 	}
 	return time.Duration(random() * float64(limit))
 }
--- a/pkg/retry/example_test.go
+++ b/pkg/retry/example_test.go
@@ -8,11 +8,11 @@
 )
 
 func ExampleDecide() {
-	lost := retry.Attempt{Failure: retry.GenerationLost, Runs: 1, BudgetLeft: true, TimeLeft: time.Minute}
-	d := retry.Decide(lost)
-	fmt.Println(d.Step, d.Outcome)
-	lost.Idempotent = true
-	fmt.Println(retry.Decide(lost).Step)
+	attempt := retry.Attempt{Failure: retry.GenerationLost, Attempts: 1, BudgetAvailable: true, TimeLeft: time.Minute}
+	decision := retry.Decide(attempt)
+	fmt.Println(decision.Step, decision.Outcome)
+	attempt.Idempotent = true
+	fmt.Println(retry.Decide(attempt).Step)
 	// Output:
 	// give_up may_have_run
 	// again
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -26,7 +26,7 @@
 	// GenerationLost: the endpoint no longer knows the generation, or is gone.
 	GenerationLost
 	// Protocol: the endpoint's reply made no sense.
-	Protocol
+	ProtocolError
 	// AnsweredError: the endpoint ran the request and answered with an error of its
 	// own, which the caller can have.
 	AnsweredError
@@ -46,21 +46,21 @@
 	// Resumable says that another run may go on after what was released.
 	Resumable bool
 	// Bound says that a generation is known that could be resumed.
-	Bound bool
+	GenerationKnown bool
 	// Released counts the tokens that the caller has received.
 	Released int
 	// Resumes counts the resumptions without progress so far.
 	Resumes int
 	// Runs counts the attempts so far, this one included.
-	Runs int
+	Attempts int
 	// Sent counts those of which bytes may have reached an endpoint, and MaxSent
 	// bounds them; zero leaves the bound to MaxRuns.
-	Sent    int
-	MaxSent int
+	SentAttempts    int
+	MaxSentAttempts int
 	// EarlierMayHaveRun says that an attempt before this one may have run.
 	EarlierMayHaveRun bool
 	// BudgetLeft says that workspace and endpoint may still retry.
-	BudgetLeft bool
+	BudgetAvailable bool
 	// TimeLeft until the request's timeout.
 	TimeLeft time.Duration
 }
@@ -75,7 +75,7 @@
 	// Resume the same generation from the next token.
 	Resume
 	// Again: a new run, at another endpoint if there is one.
-	Again
+	Rerun
 )
 
 // Bounds on one request.
@@ -83,7 +83,7 @@
 	// MaxResumes without a token in between.
 	MaxResumes = 4
 	// MaxRuns of one request.
-	MaxRuns = 3
+	MaxTotalAttempts = 3
 )
 
 // Decision is a step and, for GiveUp, the outcome.
@@ -97,28 +97,28 @@
 	if canResume(a) {
 		return Decision{Step: Resume}
 	}
-	if canRunAgain(a) {
-		return Decision{Step: Again}
+	if canRerun(a) {
+		return Decision{Step: Rerun}
 	}
 	return Decision{GiveUp, finalOutcome(a)}
 }
 
 func canResume(a Attempt) bool {
-	return a.Failure == LinkLost && a.Bound && a.Resumes < MaxResumes && a.TimeLeft > 0
+	return a.Failure == LinkLost && a.GenerationKnown && a.Resumes < MaxResumes && a.TimeLeft > 0
 }
 
-func canRunAgain(a Attempt) bool {
+func canRerun(a Attempt) bool {
 	if a.Released > 0 && !a.Resumable || a.Failure == CallerGone {
 		return false
 	}
-	if a.Runs >= MaxRuns || a.TimeLeft <= 0 {
+	if a.Attempts >= MaxTotalAttempts || a.TimeLeft <= 0 {
 		return false
 	}
-	if a.MaxSent > 0 && a.Sent >= a.MaxSent {
+	if a.MaxSentAttempts > 0 && a.SentAttempts >= a.MaxSentAttempts {
 		return false
 	}
 	// What no endpoint has received puts no load on any.
-	if a.Failure != NotSent && !a.BudgetLeft {
+	if a.Failure != NotSent && !a.BudgetAvailable {
 		return false
 	}
 	return a.Idempotent || provenNotRun(a.Failure)
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -16,7 +16,7 @@
 	// Urgent requests may use the room reserved for them.
 	Urgent bool
 	// Avoid is the index of an endpoint that failed the request, or -1.
-	Avoid int
+	ExcludedIndex int
 }
 
 // Candidate is one endpoint as an entry believes it to be.
@@ -24,22 +24,22 @@
 	// Index identifies the endpoint to the caller.
 	Index int
 	// Serves says that the endpoint answers for the request's target.
-	Serves bool
+	ServesTarget bool
 	// Leaving says that it takes no new work.
 	Leaving bool
 	// Broken says that its circuit breaker is open.
-	Broken bool
+	BreakerOpen bool
 	// Local says that it is in the entry's own data centre.
 	Local bool
 	// Fits says that its projected memory and its running requests leave room.
 	Fits bool
 	// Fill is the projected use of its memory or its places, 0 to 1 or above.
-	Fill float64
+	Utilization float64
 	// Slowness is its time between tokens in relation to the others; 1 is usual.
 	Slowness float64
 	// Backlog counts the prompt tokens that it has still to read before it can
 	// begin with another request.
-	Backlog float64
+	PrefillBacklog float64
 }
 
 // Filter drops candidates.
@@ -55,44 +55,44 @@
 }
 
 // Weighted is a scorer with its weight.
-type Weighted struct {
+type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
 // Usable keeps candidates that serve the target, stay, and work.
-type Usable struct{}
+type Available struct{}
 
 // Keep implements Filter.
-func (Usable) Keep(_ *Request, c *Candidate) bool {
-	return c.Serves && !c.Leaving && !c.Broken
+func (Available) Keep(_ *Request, c *Candidate) bool {
+	return c.ServesTarget && !c.Leaving && !c.BreakerOpen
 }
 
 // Fitting keeps candidates with room.
-type Fitting struct{}
+type FitsCapacity struct{}
 
 // Keep implements Filter.
-func (Fitting) Keep(_ *Request, c *Candidate) bool { return c.Fits }
+func (FitsCapacity) Keep(_ *Request, c *Candidate) bool { return c.Fits }
 
 // Headroom prefers candidates with room.
 type Headroom struct{}
 
 // Score implements Scorer.
-func (Headroom) Score(_ *Request, c *Candidate) float64 { return 1 - min(c.Fill, 1.5) }
+func (Headroom) Score(_ *Request, c *Candidate) float64 { return 1 - min(c.Utilization, 1.5) }
 
 // Speed prefers candidates that are no slower than the others.
-type Speed struct{}
+type TokenLatency struct{}
 
 // Score implements Scorer.
-func (Speed) Score(_ *Request, c *Candidate) float64 {
+func (TokenLatency) Score(_ *Request, c *Candidate) float64 {
 	return 1 / max(c.Slowness, 1)
 }
 
 // Near prefers candidates of the entry's own data centre.
-type Near struct{}
+type Locality struct{}
 
 // Score implements Scorer.
-func (Near) Score(_ *Request, c *Candidate) float64 {
+func (Locality) Score(_ *Request, c *Candidate) float64 {
 	if c.Local {
 		return 1
 	}
@@ -100,34 +100,34 @@
 }
 
 // Prompt prefers candidates that can begin soon.
-type Prompt struct {
+type PrefillBacklog struct {
 	// Tokens of backlog that cost one; more cost more, so that in a burst, when all
 	// engines have more, the shortest backlog still counts.
-	Tokens float64
+	ScaleTokens float64
 }
 
 // Score implements Scorer.
-func (p Prompt) Score(_ *Request, c *Candidate) float64 {
-	return 1 - c.Backlog/p.Tokens
+func (p PrefillBacklog) Score(_ *Request, c *Candidate) float64 {
+	return 1 - c.PrefillBacklog/p.ScaleTokens
 }
 
 // Pipeline is a set of filters and scorers in their order.
 type Pipeline struct {
 	Filters []Filter
-	Scorers []Weighted
+	Scorers []WeightedScorer
 	// Anywhere rates all candidates together. Without it, those of other data
 	// centres are looked at only if no local one is kept.
-	Anywhere bool
+	AllDataCenters bool
 	// Jitter is the size of the random number added to each score. It keeps
 	// entries with equal beliefs from choosing the same endpoint.
 	Jitter float64
 }
 
 // Default is the pipeline of the entries.
-func Default() Pipeline {
+func LocalFirst() Pipeline {
 	return Pipeline{
-		Filters: []Filter{Usable{}, Fitting{}},
-		Scorers: []Weighted{{Headroom{}, 1}, {Speed{}, 1}},
+		Filters: []Filter{Available{}, FitsCapacity{}},
+		Scorers: []WeightedScorer{{Headroom{}, 1}, {TokenLatency{}, 1}},
 		Jitter:  0.15,
 	}
 }
@@ -135,20 +135,20 @@
 // Weights of Spread, in units of an engine's whole memory: a candidate of the own
 // data centre may be fuller by nearWeight.
 const (
-	nearWeight   = 0.5
-	speedWeight  = 1.0
-	promptTokens = 8000
-	spreadJitter = 0.05
+	localityWeight     = 0.5
+	tokenLatencyWeight = 1.0
+	prefillScaleTokens = 8000
+	acrossJitter       = 0.05
 )
 
 // Spread is the pipeline of entries that send work to all data centres: reading
 // long prompts is what engines are short of, so the load has to be even.
-func Spread() Pipeline {
+func AcrossDataCenters() Pipeline {
 	return Pipeline{
-		Filters:  []Filter{Usable{}, Fitting{}},
-		Scorers:  []Weighted{{Headroom{}, 1}, {Prompt{promptTokens}, 1}, {Speed{}, speedWeight}, {Near{}, nearWeight}},
-		Anywhere: true,
-		Jitter:   spreadJitter,
+		Filters:        []Filter{Available{}, FitsCapacity{}},
+		Scorers:        []WeightedScorer{{Headroom{}, 1}, {PrefillBacklog{prefillScaleTokens}, 1}, {TokenLatency{}, tokenLatencyWeight}, {Locality{}, localityWeight}},
+		AllDataCenters: true,
+		Jitter:         acrossJitter,
 	}
 }
 
@@ -165,14 +165,14 @@
 
 func (p *Pipeline) best(rng *rand.Rand, r *Request, candidates []Candidate, local bool) int {
 	index := None
-	high := math.Inf(-1)
+	highScore := math.Inf(-1)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Local != local && !p.Anywhere || c.Index == r.Avoid || !p.keep(r, c) {
+		if c.Local != local && !p.AllDataCenters || c.Index == r.ExcludedIndex || !p.keep(r, c) {
 			continue
 		}
-		if s := p.score(r, c) + rng.Float64()*p.Jitter; s > high {
-			high = s
+		if s := p.score(r, c) + rng.Float64()*p.Jitter; s > highScore {
+			highScore = s
 			index = c.Index
 		}
 	}
@@ -197,19 +197,19 @@
 }
 
 // Reason explains what a pipeline makes of one candidate.
-type Reason struct {
-	Index int
-	Kept  bool
-	Score float64
+type Evaluation struct {
+	Index    int
+	Eligible bool
+	Score    float64
 }
 
 // Explain rates every candidate without choosing, for the operators.
-func (p *Pipeline) Explain(r *Request, candidates []Candidate) []Reason {
-	out := make([]Reason, 0, len(candidates))
+func (p *Pipeline) Explain(r *Request, candidates []Candidate) []Evaluation {
+	evaluations := make([]Evaluation, 0, len(candidates))
 	for i := range candidates {
 		c := &candidates[i]
-		kept := c.Index != r.Avoid && p.keep(r, c)
-		out = append(out, Reason{Index: c.Index, Kept: kept, Score: p.score(r, c)})
+		eligible := c.Index != r.ExcludedIndex && p.keep(r, c)
+		evaluations = append(evaluations, Evaluation{Index: c.Index, Eligible: eligible, Score: p.score(r, c)})
 	}
-	return out
+	return evaluations
 }
--- a/pkg/scheduler/baseline.go
+++ b/pkg/scheduler/baseline.go
@@ -70,7 +70,7 @@
 		e, ok := b.pick(&r)
 		if !ok {
 			err := outcome.NotRunf(outcome.CodeNoEndpoint, "no endpoint answers for %q", r.Row.Target)
-			out.Refusals = append(out.Refusals, Refusal{r.ID, err.After(time.Second)})
+			out.Refusals = append(out.Refusals, Refusal{r.ID, err.WithRetryAfter(time.Second)})
 			continue
 		}
 		b.inFlight[e.ID]++
--- a/pkg/scheduler/choose.go
+++ b/pkg/scheduler/choose.go
@@ -52,13 +52,13 @@
 		slowness = e.gap / typical
 	}
 	s.candidates = append(s.candidates, routing.Candidate{
-		Index:    e.index,
-		Serves:   true,
-		Leaving:  e.leaving,
-		Broken:   !s.takes(now, e),
-		Local:    e.spec.DataCenter == s.cfg.DataCenter,
-		Slowness: slowness,
-		Backlog:  s.backlog(now, e),
+		Index:          e.index,
+		ServesTarget:   true,
+		Leaving:        e.leaving,
+		BreakerOpen:    !s.takes(now, e),
+		Local:          e.spec.DataCenter == s.cfg.DataCenter,
+		Slowness:       slowness,
+		PrefillBacklog: s.backlog(now, e),
 	})
 }
 
@@ -66,28 +66,28 @@
 // more of it, because what is known of its load is older. An idle local endpoint
 // takes any request, else one larger than the endpoint would wait for ever.
 func (s *Scheduler) fits(now time.Time, c *routing.Candidate, e *endpoint, it *item) bool {
-	if s.pipeline(it).Anywhere {
-		return c.Fill <= 1 || e.ownRunning+e.peersRunning == 0
+	if s.pipeline(it).AllDataCenters {
+		return c.Utilization <= 1 || e.ownRunning+e.peersRunning == 0
 	}
 	if !c.Local && !s.cfg.PeersFromReports {
-		return c.Fill <= spillFill
+		return c.Utilization <= spillFill
 	}
 	if !c.Local {
-		return e.fresh(now) && c.Fill <= e.shared(spillFill)
+		return e.fresh(now) && c.Utilization <= e.shared(spillFill)
 	}
 	if e.ownRunning+e.peersRunning == 0 {
 		return true
 	}
 	if !s.cfg.Parts || e.spec.CapacityTokens == 0 {
-		return c.Fill <= 1
+		return c.Utilization <= 1
 	}
 	if e.parts == 0 && s.cfg.PeersFromReports {
-		return c.Fill <= e.shared(s.cfg.BorrowFill)
+		return c.Utilization <= e.shared(s.cfg.BorrowFill)
 	}
-	if c.Fill <= s.cfg.BorrowFill {
+	if c.Utilization <= s.cfg.BorrowFill {
 		return true
 	}
-	return c.Fill <= partFill && e.ownFill(&it.projection, it.req.Urgent(), s.room(0)) <= 1
+	return c.Utilization <= partFill && e.ownFill(&it.projection, it.req.Urgent(), s.room(0)) <= 1
 }
 
 func (s *Scheduler) room(extra float64) room {
@@ -99,9 +99,9 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		e := s.endpoints[c.Index]
-		c.Serves = it.req.mayServe(e)
-		c.Fill = e.fill(&it.projection, it.req.Urgent(), s.room(e.extra(now)))
-		c.Fits = s.fits(now, c, e, it) && s.beginsInTime(now, c.Backlog, it)
+		c.ServesTarget = it.req.mayServe(e)
+		c.Utilization = e.fill(&it.projection, it.req.Urgent(), s.room(e.extra(now)))
+		c.Fits = s.fits(now, c, e, it) && s.beginsInTime(now, c.PrefillBacklog, it)
 	}
 }
 
@@ -118,9 +118,9 @@
 	}
 	// The request is a field, since it would escape to the heap with each call.
 	r := &s.request
-	*r = routing.Request{Urgent: it.req.Urgent(), Avoid: routing.None}
+	*r = routing.Request{Urgent: it.req.Urgent(), ExcludedIndex: routing.None}
 	if e := s.byID[it.req.Avoid]; e != nil && len(s.candidates) > 1 {
-		r.Avoid = e.index
+		r.ExcludedIndex = e.index
 	}
 	s.measure(now, it)
 	i := s.pipeline(it).Choose(s.cfg.Rand, r, s.candidates)
@@ -140,7 +140,7 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		e := s.endpoints[c.Index]
-		if !(routing.Usable{}).Keep(r, c) || c.Index == r.Avoid || e.places() > 1 {
+		if !(routing.Available{}).Keep(r, c) || c.Index == r.ExcludedIndex || e.places() > 1 {
 			continue
 		}
 		if best == nil || s.overcommitsTo(c, best) {
@@ -158,10 +158,10 @@
 func (s *Scheduler) overcommitsTo(c, other *routing.Candidate) bool {
 	switch {
 	case s.cfg.ReadInTurn:
-		return c.Backlog < other.Backlog
+		return c.PrefillBacklog < other.PrefillBacklog
 	case c.Local != other.Local:
 		return c.Local
 	default:
-		return c.Fill < other.Fill
+		return c.Utilization < other.Utilization
 	}
 }
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -137,7 +137,7 @@
 		c.LocalChoices, c.RemoteChoices = allEndpoints, allEndpoints
 	}
 	if c.Pipeline.Filters == nil {
-		c.Pipeline = routing.Default()
+		c.Pipeline = routing.LocalFirst()
 	}
 	if c.ServicePipeline.Filters == nil {
 		c.ServicePipeline = c.Pipeline
--- a/pkg/scheduler/mechanisms.go
+++ b/pkg/scheduler/mechanisms.go
@@ -41,8 +41,12 @@
 const allEndpoints = math.MaxInt32
 
 var switchOff = map[Mechanism]func(*Config){
-	Near:               func(c *Config) { c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.Near); return ok }) },
-	PromptBacklog:      func(c *Config) { c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.Prompt); return ok }) },
+	Near: func(c *Config) {
+		c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.Locality); return ok })
+	},
+	PromptBacklog: func(c *Config) {
+		c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.PrefillBacklog); return ok })
+	},
 	FewChoices:         func(c *Config) { c.CompareAll = true },
 	Breakers:           func(c *Config) { c.NoBreakers = true },
 	DataCenterBreakers: func(c *Config) { c.ReachByDataCenter = false },
@@ -75,9 +79,9 @@
 }
 
 // isSpeed tells the scorer that prefers endpoints whose tokens come faster.
-func isSpeed(s routing.Scorer) bool { _, ok := s.(routing.Speed); return ok }
+func isSpeed(s routing.Scorer) bool { _, ok := s.(routing.TokenLatency); return ok }
 
 func (c *Config) dropScorer(drop func(routing.Scorer) bool) {
-	isIt := func(w routing.Weighted) bool { return drop(w.Scorer) }
+	isIt := func(w routing.WeightedScorer) bool { return drop(w.Scorer) }
 	c.Pipeline.Scorers = slices.DeleteFunc(slices.Clone(c.Pipeline.Scorers), isIt)
 }
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -20,7 +20,7 @@
 	orderBy time.Time
 
 	endpoint  *endpoint
-	run       lengths.Run
+	run       lengths.Tracker
 	generated int
 	lastToken time.Time
 	// unread says that the endpoint has still to read the prompt.
--- a/pkg/scheduler/reach.go
+++ b/pkg/scheduler/reach.go
@@ -28,7 +28,7 @@
 	}
 	b := s.dataCenters[e.spec.DataCenter]
 	if b == nil {
-		b = &retry.Breaker{Threshold: dataCenterFailures}
+		b = &retry.Breaker{FailureThreshold: dataCenterFailures}
 		s.dataCenters[e.spec.DataCenter] = b
 	}
 	return b
@@ -60,11 +60,11 @@
 
 // sentTo records that a request goes to an endpoint.
 func (s *Scheduler) sentTo(now time.Time, e *endpoint) {
-	e.breaker.Sent(now)
+	e.breaker.RecordSent(now)
 	e.sentCold(now)
 	s.pressure.Sent(now, e.spec)
 	if b := s.dataCenterBreaker(e); b != nil {
-		b.Sent(now)
+		b.RecordSent(now)
 	}
 }
 
@@ -77,10 +77,10 @@
 	case res.Unreachable:
 		e.breaker.Trip(now)
 		if b := s.dataCenterBreaker(e); b != nil {
-			b.Failure(now)
+			b.RecordFailure(now)
 		}
 	case res.Failed:
-		e.breaker.Failure(now)
+		e.breaker.RecordFailure(now)
 		s.probeEnded(now, e)
 	case res.Complete:
 		s.answered(now, e)
@@ -92,9 +92,9 @@
 // probeEnded lets others probe an endpoint and its data centre: of a request that ends
 // without telling whether they are back, a result isn't awaited.
 func (s *Scheduler) probeEnded(now time.Time, e *endpoint) {
-	e.breaker.Inconclusive(now)
+	e.breaker.RecordInconclusive(now)
 	if b := s.dataCenterBreaker(e); b != nil {
-		b.Inconclusive(now)
+		b.RecordInconclusive(now)
 	}
 }
 
@@ -107,9 +107,9 @@
 	if e.breaker.Opened() {
 		e.returned(now)
 	}
-	e.breaker.Success()
+	e.breaker.RecordSuccess()
 	if b := s.dataCenterBreaker(e); b != nil {
-		b.Success()
+		b.RecordSuccess()
 	}
 }
 
@@ -184,10 +184,10 @@
 
 // believedGone reports whether requests had better not wait for an endpoint.
 func (s *Scheduler) believedGone(now time.Time, e *endpoint) bool {
-	if b := s.dataCenterBreaker(e); b != nil && b.Believed(now) {
+	if b := s.dataCenterBreaker(e); b != nil && b.ConfirmedDown(now) {
 		return true
 	}
-	return e.breaker.Believed(now)
+	return e.breaker.ConfirmedDown(now)
 }
 
 // unservable refuses a request for a target that no endpoint can serve.
@@ -202,9 +202,9 @@
 func (s *Scheduler) nextProbe(now time.Time, target string) time.Duration {
 	first := maxRetryAfter
 	for e := range s.staying(target) {
-		wait := e.breaker.ProbeIn(now)
+		wait := e.breaker.TimeToProbe(now)
 		if b := s.dataCenterBreaker(e); b != nil {
-			wait = max(wait, b.ProbeIn(now))
+			wait = max(wait, b.TimeToProbe(now))
 		}
 		first = min(first, wait)
 	}
--- a/pkg/scheduler/scheduler_test.go
+++ b/pkg/scheduler/scheduler_test.go
@@ -144,7 +144,7 @@
 			}
 		}
 		Expect(refused).NotTo(BeNil())
-		Expect(refused.Code).To(Equal(outcome.CodeDeadline))
+		Expect(refused.Code).To(Equal(outcome.CodeDeadlineUnreachable))
 		Expect(refused.Outcome).To(Equal(outcome.NotRun))
 	})
 
@@ -253,8 +253,8 @@
 			Expect(st.Projected.Max()).To(BeZero())
 		}
 		k := limits.Key{Workspace: "w", Kind: "k"}
-		Expect(b.InFlight().Sum(k)).To(BeZero())
-		Expect(b.Queued().Sum(k)).To(BeZero())
+		Expect(b.InFlight().TotalUsage(k)).To(BeZero())
+		Expect(b.Queued().TotalUsage(k)).To(BeZero())
 	})
 })
 
--- a/pkg/scheduler/serve.go
+++ b/pkg/scheduler/serve.go
@@ -89,7 +89,7 @@
 
 func (s *Scheduler) expire(q *queue, i int) {
 	wait, _ := q.wait(q.cost)
-	s.drop(q, i, s.refusal(outcome.CodeQueueTime, wait, "waited for %v", q.items[i].req.Row.MaxQueueTime))
+	s.drop(q, i, s.refusal(outcome.CodeQueueTimeExceeded, wait, "waited for %v", q.items[i].req.Row.MaxQueueTime))
 }
 
 func (s *Scheduler) drop(q *queue, i int, err *outcome.Error) {
@@ -111,7 +111,7 @@
 	if need <= left {
 		return nil
 	}
-	return s.refusal(outcome.CodeDeadline, minRetryAfter, "about %v are needed, %v are left",
+	return s.refusal(outcome.CodeDeadlineUnreachable, minRetryAfter, "about %v are needed, %v are left",
 		need.Round(time.Second), left.Round(time.Second))
 }
 
@@ -146,7 +146,7 @@
 		invariant.Check(false, invariant.NoNewWorkOnLeaving, "dispatch to %s", e.spec.ID)
 	}
 	s.queued.Release(limitKey(&it.req))
-	s.inFlight.Take(limitKey(&it.req), it.req.Row.MaxInFlight)
+	s.inFlight.Acquire(limitKey(&it.req), it.req.Row.MaxInFlight)
 	it.endpoint = e
 	it.sentAt = now
 	it.generated = 0
@@ -168,9 +168,9 @@
 func (s *Scheduler) refreshCandidate(now time.Time, e *endpoint) {
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		c.Broken = !s.takes(now, s.endpoints[c.Index])
+		c.BreakerOpen = !s.takes(now, s.endpoints[c.Index])
 		if c.Index == e.index {
-			c.Backlog = s.backlog(now, e)
+			c.PrefillBacklog = s.backlog(now, e)
 		}
 	}
 }
--- a/pkg/scheduler/start.go
+++ b/pkg/scheduler/start.go
@@ -100,6 +100,6 @@
 	}
 	s.pressedAt = now
 	late := now.Sub(it.req.Arrived) + s.startsIn(now, least, it) + startMargin - s.startWithin(now, it)
-	return s.refusal(outcome.CodeDeadline, late, "the first engine would begin %v after the objective of %v",
+	return s.refusal(outcome.CodeDeadlineUnreachable, late, "the first engine would begin %v after the objective of %v",
 		late.Round(time.Millisecond), s.startWithin(now, it).Round(time.Millisecond))
 }
--- a/pkg/scheduler/status.go
+++ b/pkg/scheduler/status.go
@@ -81,7 +81,7 @@
 	Ahead      int
 	Wait       time.Duration
 	Candidates []routing.Candidate
-	Reasons    []routing.Reason
+	Reasons    []routing.Evaluation
 	IDs        []string
 }
 
@@ -98,7 +98,7 @@
 		out.IDs = append(out.IDs, s.endpoints[c.Index].spec.ID)
 	}
 	out.Candidates = slices.Clone(s.candidates)
-	req := routing.Request{Urgent: r.Urgent(), Avoid: routing.None}
+	req := routing.Request{Urgent: r.Urgent(), ExcludedIndex: routing.None}
 	out.Reasons = s.pipeline(it).Explain(&req, s.candidates)
 	return out
 }
--- a/pkg/scheduler/submit.go
+++ b/pkg/scheduler/submit.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	q.insert(it)
-	s.queued.Take(limitKey(&r), r.Row.MaxQueued)
+	s.queued.Acquire(limitKey(&r), r.Row.MaxQueued)
 	return nil
 }
 
@@ -97,7 +97,7 @@
 	if s.displace(q, it, left) {
 		return nil
 	}
-	return s.refusal(outcome.CodeDeadline, wait-left, "the wait would be %v, allowed are %v",
+	return s.refusal(outcome.CodeDeadlineUnreachable, wait-left, "the wait would be %v, allowed are %v",
 		wait.Round(time.Millisecond), it.req.Row.MaxQueueTime)
 }
 
@@ -127,7 +127,7 @@
 		q.remove(v.req.ID)
 		s.queued.Release(limitKey(&v.req))
 		wait, _ := q.wait(q.cost)
-		err := s.refusal(outcome.CodeDeadline, wait, "requests of more worth wait")
+		err := s.refusal(outcome.CodeDeadlineUnreachable, wait, "requests of more worth wait")
 		s.displaced = append(s.displaced, Refusal{v.req.ID, err})
 		s.release(v)
 	}
@@ -137,7 +137,7 @@
 func (s *Scheduler) refusal(code outcome.Code, wait time.Duration, format string, args ...any) *outcome.Error {
 	after := min(max(wait, minRetryAfter), maxRetryAfter)
 	spread := 1 + retryAfterJitter*s.cfg.Rand.Float64()
-	return outcome.NotRunf(code, format, args...).After(time.Duration(float64(after) * spread))
+	return outcome.NotRunf(code, format, args...).WithRetryAfter(time.Duration(float64(after) * spread))
 }
 
 // Cancel implements Policy.
--- a/pkg/scheduler/versions.go
+++ b/pkg/scheduler/versions.go
@@ -44,8 +44,8 @@
 		c.PeersFromReports = false
 		c.Parts = false
 		c.OrderByWorth = false
-		c.Pipeline = routing.Spread()
-		c.ServicePipeline = routing.Default()
+		c.Pipeline = routing.AcrossDataCenters()
+		c.ServicePipeline = routing.LocalFirst()
 		// The time between tokens counts the pauses of moves, so it says too little.
 		c.KeepHopeless = true
 		c.ReadRate = DefaultReadRate
--- a/pkg/stream/events.go
+++ b/pkg/stream/events.go
@@ -17,15 +17,15 @@
 //	[begun] --Continue--> [at the seam] --event after the last--> [begun]
 //	                            \--any other event--> ErrNotTheRest
 type Splitter struct {
-	rest []byte
-	last int
-	seen bool
+	buffer []byte
+	lastID int
+	hasID  bool
 	// seam says that a continuation has begun, of which no event has come yet.
-	seam bool
+	awaitingContinuation bool
 }
 
 // eventEnd ends an event.
-var eventEnd = []byte("\n\n")
+var eventTerminator = []byte("\n\n")
 
 // maxEventBytes bounds one event.
 const maxEventBytes = 256 << 10
@@ -40,85 +40,85 @@
 	ErrNoEventID = errors.New("stream: an event has no id")
 	// ErrNotTheRest says that a continuation doesn't go on after the last event: another
 	// generation has begun, whose events must not be joined to those of the first.
-	ErrNotTheRest = errors.New("stream: not the rest")
+	ErrNotContinuation = errors.New("stream: not the rest")
 )
 
 // Feed takes bytes as they come and returns the events that are now whole and
 // new, as one run of bytes, and their number. The bytes are valid until the next
 // call.
 func (s *Splitter) Feed(data []byte) (events []byte, count int, err error) {
-	s.rest = append(s.rest, data...)
+	s.buffer = append(s.buffer, data...)
 	for {
-		end := bytes.Index(s.rest, eventEnd)
+		end := bytes.Index(s.buffer, eventTerminator)
 		if end < 0 {
 			break
 		}
-		event := s.rest[:end+len(eventEnd)]
-		s.rest = s.rest[end+len(eventEnd):]
-		fresh, gap := s.accept(event)
-		if gap != nil {
-			return events, count, gap
+		event := s.buffer[:end+len(eventTerminator)]
+		s.buffer = s.buffer[end+len(eventTerminator):]
+		isNew, acceptErr := s.accept(event)
+		if acceptErr != nil {
+			return events, count, acceptErr
 		}
-		if fresh {
+		if isNew {
 			events = append(events, event...)
 			count++
 		}
 	}
-	if len(s.rest) > maxEventBytes {
+	if len(s.buffer) > maxEventBytes {
 		return events, count, ErrEventTooLong
 	}
 	return events, count, nil
 }
 
-func (s *Splitter) accept(event []byte) (fresh bool, err error) {
+func (s *Splitter) accept(event []byte) (isNew bool, err error) {
 	id, ok := eventID(event)
-	if !ok && s.seen {
+	if !ok && s.hasID {
 		return false, ErrNoEventID
 	}
 	if !ok {
 		return true, nil
 	}
-	if s.seam && id != s.last+1 {
-		return false, errors.Wrapf(ErrNotTheRest, "event %d after %d", id, s.last)
+	if s.awaitingContinuation && id != s.lastID+1 {
+		return false, errors.Wrapf(ErrNotContinuation, "event %d after %d", id, s.lastID)
 	}
-	s.seam = false
+	s.awaitingContinuation = false
 	switch {
-	case s.seen && id <= s.last:
+	case s.hasID && id <= s.lastID:
 		return false, nil
-	case s.seen && id > s.last+1:
+	case s.hasID && id > s.lastID+1:
 		return false, ErrEventGap
 	}
-	s.last = id
-	s.seen = true
+	s.lastID = id
+	s.hasID = true
 	return true, nil
 }
 
 // ResumeAfter says that the caller has all events up to one already, so that what comes is
 // a continuation.
 func (s *Splitter) ResumeAfter(id int) {
-	s.last = id
-	s.seen = true
-	s.Continue()
+	s.lastID = id
+	s.hasID = true
+	s.BeginContinuation()
 }
 
 // Continue says that what comes now is the continuation of the stream from elsewhere: half
 // an event of before is forgotten, and the first event must be the one after the last.
-func (s *Splitter) Continue() {
-	s.Reset()
-	s.seam = s.seen
+func (s *Splitter) BeginContinuation() {
+	s.DiscardPartial()
+	s.awaitingContinuation = s.hasID
 }
 
 // AtSeam reports whether a continuation has begun of which no event has come yet.
-func (s *Splitter) AtSeam() bool { return s.seam }
+func (s *Splitter) AwaitingContinuation() bool { return s.awaitingContinuation }
 
 // Reset forgets an event that has begun, since the stream goes on elsewhere.
-func (s *Splitter) Reset() { s.rest = nil }
+func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
 // Partial reports whether an event has begun and not ended.
-func (s *Splitter) Partial() bool { return len(bytes.TrimSpace(s.rest)) > 0 }
+func (s *Splitter) HasPartial() bool { return len(bytes.TrimSpace(s.buffer)) > 0 }
 
 // LastID returns the id of the last whole event, if one had an id.
-func (s *Splitter) LastID() (int, bool) { return s.last, s.seen }
+func (s *Splitter) LastID() (int, bool) { return s.lastID, s.hasID }
 
 var idField = []byte("id:")
 
--- a/pkg/stream/stream.go
+++ b/pkg/stream/stream.go
@@ -33,8 +33,8 @@
 	Index int
 	Text  string
 	// Final marks the end; Reason says why.
-	Final  bool
-	Reason string
+	Final        bool
+	FinishReason string
 }
 
 // Verdict is what became of a chunk.
@@ -61,49 +61,49 @@
 
 // Assembler follows one request. It is not safe for concurrent use.
 type Assembler struct {
-	bound    bool
-	gen      Generation
-	next     int
-	ended    bool
-	released int
+	bound      bool
+	generation Generation
+	nextIndex  int
+	ended      bool
+	released   int
 }
 
 // Accept decides about a chunk.
 func (a *Assembler) Accept(c Chunk) Verdict {
-	if a.bound && c.Generation != a.gen {
+	if a.bound && c.Generation != a.generation {
 		return Foreign
 	}
 	if a.ended {
 		return AfterEnd
 	}
-	if c.Index < a.next {
+	if c.Index < a.nextIndex {
 		return Duplicate
 	}
-	if c.Index > a.next {
+	if c.Index > a.nextIndex {
 		return Gap
 	}
 	a.bound = true
-	a.gen = c.Generation
+	a.generation = c.Generation
 	if c.Final {
 		a.ended = true
 		return Deliver
 	}
-	a.next++
+	a.nextIndex++
 	return Deliver
 }
 
 // Release records that the caller has been sent the token with this index.
 func (a *Assembler) Release(gen Generation, index int) {
-	invariant.Check(gen == a.gen, invariant.OneGeneration, "token of %v released into %v", gen, a.gen)
+	invariant.Check(gen == a.generation, invariant.OneGeneration, "token of %v released into %v", gen, a.generation)
 	invariant.Check(index == a.released, invariant.OneGeneration, "token %d released, want %d", index, a.released)
 	a.released++
 }
 
 // Generation returns the generation that the request is bound to.
-func (a *Assembler) Generation() (Generation, bool) { return a.gen, a.bound }
+func (a *Assembler) Generation() (Generation, bool) { return a.generation, a.bound }
 
 // Next is the index to resume from.
-func (a *Assembler) Next() int { return a.next }
+func (a *Assembler) Next() int { return a.nextIndex }
 
 // Released counts the tokens that the caller has been sent.
 func (a *Assembler) Released() int { return a.released }
--- a/pkg/stream/stream_test.go
+++ b/pkg/stream/stream_test.go
@@ -27,17 +27,17 @@
 					t.Fatal("a reset after a token was released, or none before")
 				}
 			}
-			c := chunk(t, length)
+			c := drawChunk(t, length)
 			next, bound := a.Next(), false
 			gen, bound := a.Generation()
-			v := a.Accept(c)
-			if bound && c.Generation != gen && v != stream.Foreign {
-				t.Fatalf("chunk of %v was %v in %v", c.Generation, v, gen)
+			verdict := a.Accept(c)
+			if bound && c.Generation != gen && verdict != stream.Foreign {
+				t.Fatalf("chunk of %v was %v in %v", c.Generation, verdict, gen)
 			}
-			if v == stream.Deliver && c.Index != next {
+			if verdict == stream.Deliver && c.Index != next {
 				t.Fatalf("delivered %d, want %d", c.Index, next)
 			}
-			if v == stream.Deliver && !c.Final && rapid.Bool().Draw(t, "release") && a.Released() == c.Index {
+			if verdict == stream.Deliver && !c.Final && rapid.Bool().Draw(t, "release") && a.Released() == c.Index {
 				a.Release(c.Generation, c.Index)
 				released += c.Text
 			}
@@ -45,7 +45,7 @@
 		gen, _ := a.Generation()
 		want := ""
 		for i := range a.Released() {
-			want += text(gen, i)
+			want += tokenText(gen, i)
 		}
 		if released != want {
 			t.Fatalf("released %q of %v, want %q", released, gen, want)
@@ -53,16 +53,16 @@
 	})
 }
 
-func text(g stream.Generation, i int) string {
+func tokenText(g stream.Generation, i int) string {
 	return fmt.Sprintf("%s/%d.%d ", g.Endpoint, g.Incarnation, i)
 }
 
-func chunk(t *rapid.T, length int) stream.Chunk {
+func drawChunk(t *rapid.T, length int) stream.Chunk {
 	g := stream.Generation{
 		Endpoint:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "endpoint"),
 		Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
 		ID:          rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "id"),
 	}
 	i := rapid.IntRange(0, length).Draw(t, "index")
-	return stream.Chunk{Generation: g, Index: i, Text: text(g, i), Final: i == length}
+	return stream.Chunk{Generation: g, Index: i, Text: tokenText(g, i), Final: i == length}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -36,8 +36,8 @@
 }
 
 P=./internal/proof
-mutant "one generation: foreign chunks taken" pkg/stream/stream.go 's/if a.bound \&\& c.Generation != a.gen {/if false {/' ./pkg/stream
-mutant "one generation: duplicates taken" pkg/stream/stream.go 's/if c.Index < a.next {/if false {/' ./pkg/stream
+mutant "one generation: foreign chunks taken" pkg/stream/stream.go 's/if a.bound \&\& c.Generation != a.generation {/if false {/' ./pkg/stream
+mutant "one generation: duplicates taken" pkg/stream/stream.go 's/if c.Index < a.nextIndex {/if false {/' ./pkg/stream
 mutant "one generation: reset after release" pkg/stream/stream.go 's/if a.released > 0 {/if false {/' ./pkg/stream
 mutant "own answer: replies not matched" internal/engineclient/engineclient.go 's/got != "" \&\& got != requestID/got == "\\n"/' ./internal/engineclient
 mutant "not run: any failure counts as proof" pkg/retry/retry.go 's/return f == NotSent || f == RefusedBeforeExecution/return true/' ./pkg/retry
@@ -52,11 +52,11 @@
 mutant "leaving: a stale list brings back" pkg/drain/drain.go 's/return ok \&\& incarnation <= left/return ok \&\& incarnation < left/' "$P"
 mutant "leaving: not told to peers" internal/proof/world_test.go 's/added := n.drains.Add(drain.Leave/added := drain.New().Add(drain.Leave/' "$P"
 mutant "revision: adopted whatever its order" pkg/register/register.go 's/if at <= r.seen {/if false {/' "$P ./pkg/register"
-mutant "orders: planned against a newer number" pkg/fencing/fencing.go 's/if o.Fencing > uint64(b.Revision) || settled/if settled/' ./pkg/fencing
+mutant "orders: planned against a newer number" pkg/fencing/fencing.go 's/if r.Fencing > uint64(snapshot.Revision) || converged/if converged/' ./pkg/fencing
 stop="./internal/e2e -run TestPlannedStop"
 mutant "planned stop: open requests cut" internal/entry/lifecycle.go 's/err := s.callers.Shutdown(drain)/err := s.callers.Close()/' "$stop"
 mutant "planned stop: tickets not handed over" internal/entry/lifecycle.go 's/^\te.handOver(drain)$/\t_ = e.handOver/' "$stop"
-mutant "limits: small uses not told" pkg/limits/limits.go 's/max(n+c.others(k), n\*c.entries)/n+c.others(k)/' ./pkg/limits
+mutant "limits: small uses not told" pkg/limits/limits.go 's/max(n+c.peerUsage(k), n\*c.entries)/n+c.peerUsage(k)/' ./pkg/limits
 mutant "urgent: no overcommit" pkg/scheduler/versions.go 's/c.UrgentOvercommit = true/c.UrgentOvercommit = false/' ./pkg/scheduler
 mutant "parts: news needed" pkg/scheduler/versions.go 's/c.Parts = true/c.Parts = false/' ./pkg/scheduler
 mutant "moves: nothing moved that begins late" internal/gateway/parts.go 's/g.evacuator.Begun(g.work, at)//' "./internal/gateway -run TestGenerations"
@@ -89,21 +89,21 @@
 mutant "whole: a handoff takes any answer" internal/relay/pass.go 's/failure := unfit(resp, true)/failure := refused(resp)/' "./internal/gateway -run TestOnlyAStream"
 mutant "whole: a repeat takes any answer" internal/relay/relay.go 's/unfit(resp, j.Delivered.Begun)/unfit(resp, false)/' "./internal/gateway -run TestAnErrorAfter"
 mutant "whole: a first copy's target may err" internal/relay/pass.go 's/failure := unfit(resp, true)/failure := unfit(resp, h.Stopped)/' "./internal/gateway -run TestTheTargetOf"
-mutant "whole: a rest without events" internal/relay/pass.go 's/if p.state.Begun \&\& p.state.Events.AtSeam() {/if false {/' "./internal/gateway -run TestOnlyAStream"
-mutant "whole: another generation joined" pkg/stream/events.go 's/if s.seam \&\& id != s.last+1 {/if false {/' "./pkg/stream ./internal/gateway -run Continuation|TestOnlyAStream"
-mutant "whole: events without ids" pkg/stream/events.go 's/if !ok \&\& s.seen {/if false {/' "./pkg/stream ./internal/gateway -run IDs|TestOnlyAStream"
+mutant "whole: a rest without events" internal/relay/pass.go 's/if p.state.Begun \&\& p.state.Events.AwaitingContinuation() {/if false {/' "./internal/gateway -run TestOnlyAStream"
+mutant "whole: another generation joined" pkg/stream/events.go 's/if s.awaitingContinuation \&\& id != s.lastID+1 {/if false {/' "./pkg/stream ./internal/gateway -run Continuation|TestOnlyAStream"
+mutant "whole: events without ids" pkg/stream/events.go 's/if !ok \&\& s.hasID {/if false {/' "./pkg/stream ./internal/gateway -run IDs|TestOnlyAStream"
 mutant "whole: an unknown end is the end" internal/relay/pass.go 's/if h == nil || err == nil \&\& h.ended {/if h == nil || err == nil \&\& !h.Stopped {/' "./internal/gateway -run TestAStreamWithout"
 mutant "whole: an answer without the id" internal/relay/relay.go 's/ \&\& resp.RequestID == "":/ \&\& false:/' "./internal/gateway -run TestAnAnswerWithout"
 mutant "whole: the end of an error awaited" internal/upstream/pool.go 's/discardTimeout = 20 \* time.Millisecond/discardTimeout = time.Minute/' "./internal/gateway -run TestAnErrorThat"
 mutant "refusals: held though nobody serves" pkg/scheduler/versions.go 's/c.RefuseUnservable = true/c.RefuseUnservable = false/' ./pkg/scheduler
 mutant "data centres: each endpoint learnt alone" pkg/scheduler/versions.go 's/c.ReachByDataCenter = true/c.ReachByDataCenter = false/' ./pkg/scheduler
-mutant "readiness: stranded entries ready" pkg/readiness/readiness.go 's/case b.CutOff \&\& len(b.Unservable) > 0:/case false:/' ./pkg/readiness
+mutant "readiness: stranded entries ready" pkg/readiness/readiness.go 's/case c.Isolated \&\& len(c.UnservableTargets) > 0:/case false:/' ./pkg/readiness
 mutant "bursts: prompts sent wherever" pkg/scheduler/versions.go 's/c.StartInTime = true/c.StartInTime = false/' ./pkg/scheduler
 mutant "bursts: others' work forgotten" pkg/scheduler/scheduler.go 's/if s.cfg.PeersFromReports || s.cfg.OthersFromReports {/if false {/' ./pkg/scheduler
 mutant "bursts: read rates not learnt" pkg/scheduler/readrate.go 's/return max(s.cfg.ReadRate, s.queue(target).learntRate)/return s.cfg.ReadRate/' ./pkg/scheduler
 mutant "bursts: pace not learnt" pkg/scheduler/versions.go 's/c.LearnPace = true/c.LearnPace = false/' ./pkg/scheduler
 mutant "breakers: any endpoint probes its data centre" pkg/scheduler/reach.go 's/ \&\& s.bestProbe(e)$//' "./pkg/scheduler -run Probe"
-mutant "breakers: probes without a result awaited" pkg/retry/breaker.go 's/^\tb.probing = false\n}$//;/func (b \*Breaker) Inconclusive/,/^}/s/^\tb.probing = false$//' "./pkg/scheduler -run Probe"
+mutant "breakers: probes without a result awaited" pkg/retry/breaker.go 's/^\tb.probeInFlight = false\n}$//;/func (b \*Breaker) RecordInconclusive/,/^}/s/^\tb.probeInFlight = false$//' "./pkg/scheduler -run Probe"
 mutant "breakers: probes end with the answer" pkg/scheduler/scheduler.go 's/^\t\ts.answered(it.endpoint)$//' ./pkg/scheduler
 mutant "records: any state used" platform/endpoints.go 's/^\tcase stateReady:$/\tcase stateReady, "live", "starting":/' ./platform
 mutant "records: fields given twice" platform/object.go 's/o.twice\[name\] = true/o.twice[name] = false/' ./platform
@@ -230,7 +230,7 @@
 mutant "restores: most of a target kept out" pkg/fleet/restored.go 's/return left\[t\] > mostLeft\*inUse\[t\]/return false/' ./pkg/fleet
 mutant "restores: closed data centres open" pkg/fleet/restored.go 's/^\t\tr.kept = r.closed$/\t\tr.kept = nil/' "./pkg/fleet -run Closed"
 mutant "restores: what the copy lacks is gone" pkg/fleet/grace.go 's/all || live\[t\] > 1/live[t] > 1/' "./pkg/fleet ./internal/gateway -run Copy"
-mutant "restores: fencing numbers go back" pkg/fencing/fencing.go 's/Fencing: uint64(b.Revision), Desired/Fencing: b.Revision.Number(), Desired/' ./pkg/fencing
+mutant "restores: fencing numbers go back" pkg/fencing/fencing.go 's/Fencing: uint64(snapshot.Revision), Desired/Fencing: snapshot.Revision.Number(), Desired/' ./pkg/fencing
 mutant "restores: a rewind without a new era not noticed" pkg/revision/revision.go 's/id.Number() < before.Number() \&\& before.Rewinds() < MaxRewinds/false/' "./pkg/revision ./internal/gateway -run Given"
 mutant "restores: rewinds that others noticed not followed" pkg/revision/revision.go 's/others.Epoch() > before.Epoch()/false/' "./pkg/revision -run Given"
 mutant "restores: a watch beyond what the store has goes on" platform/store.go 's/at < since.Number()/at < 1/' "./platform -run TestAWatchBeyond"
