--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,9 +1,9 @@
 // Package routing chooses an endpoint for a request.
 //
-// A choice is made in three steps over a snapshot: filters drop candidates
-// that must not or can't take the request, scorers rate the rest, a picker
-// takes one. Each part is small and pure, and Choose allocates nothing. What
-// the candidates look like is the business of package scheduler.
+// A Pipeline works on a snapshot of candidates: filters exclude those that
+// must not or can't serve the request, weighted scorers rate the rest, and the
+// highest score wins. Filters and scorers are stateless, and Choose doesn't
+// allocate. Package scheduler builds the candidates.
 package routing
 
 import (
@@ -11,56 +11,63 @@
 	"math/rand/v2"
 )
 
-// Request is what routing needs to know of a request.
+// Request holds the properties of a request that affect routing.
 type Request struct {
-	// Urgent requests may use the room reserved for them.
+	// Urgent is set for requests that may use the capacity reserved for urgent
+	// work.
 	Urgent bool
-	// Avoid is the index of an endpoint that failed the request, or -1.
+	// ExcludedIndex is the Candidate.Index of an endpoint that failed the
+	// request, or None.
 	ExcludedIndex int
 }
 
-// Candidate is one endpoint as an entry believes it to be.
+// Candidate is the entry's view of one endpoint.
 type Candidate struct {
 	// Index identifies the endpoint to the caller.
 	Index int
-	// Serves says that the endpoint answers for the request's target.
+	// ServesTarget is set if the endpoint serves the request's target.
 	ServesTarget bool
-	// Leaving says that it takes no new work.
+	// Leaving is set if the endpoint takes no new work.
 	Leaving bool
-	// Broken says that its circuit breaker is open.
+	// BreakerOpen is set if the endpoint's circuit breaker allows no request.
 	BreakerOpen bool
-	// Local says that it is in the entry's own data centre.
+	// Local is set if the endpoint is in the entry's own data centre.
 	Local bool
-	// Fits says that its projected memory and its running requests leave room.
+	// Fits is set if the endpoint's projected memory and number of running
+	// requests leave room for the request.
 	Fits bool
-	// Fill is the projected use of its memory or its places, 0 to 1 or above.
+	// Utilization is the projected use of the endpoint's memory or concurrency
+	// limit as a part of capacity; it may exceed 1.
 	Utilization float64
-	// Slowness is its time between tokens in relation to the others; 1 is usual.
+	// Slowness is the endpoint's time between tokens relative to that of the
+	// other endpoints; 1 is typical.
 	Slowness float64
-	// Backlog counts the prompt tokens that it has still to read before it can
-	// begin with another request.
+	// PrefillBacklog is the number of prompt tokens that the endpoint has to
+	// process before it can start another request.
 	PrefillBacklog float64
 }
 
-// Filter drops candidates.
+// Filter excludes candidates.
 type Filter interface {
 	// Keep reports whether the candidate may take the request.
 	Keep(r *Request, c *Candidate) bool
 }
 
-// Scorer rates candidates; higher is better, about 0 to 1.
+// Scorer rates candidates.
 type Scorer interface {
-	// Score rates one candidate.
+	// Score rates one candidate. Higher is better; scores are mostly between
+	// 0 and 1.
 	Score(r *Request, c *Candidate) float64
 }
 
-// Weighted is a scorer with its weight.
+// WeightedScorer is a scorer and the factor of its score in the sum.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Usable keeps candidates that serve the target, stay, and work.
+// Available keeps candidates that serve the target, aren't leaving and have no
+// open circuit breaker.
 type Available struct{}
 
 // Keep implements Filter.
@@ -68,19 +75,20 @@
 	return c.ServesTarget && !c.Leaving && !c.BreakerOpen
 }
 
-// Fitting keeps candidates with room.
+// FitsCapacity keeps candidates with capacity for the request.
 type FitsCapacity struct{}
 
 // Keep implements Filter.
 func (FitsCapacity) Keep(_ *Request, c *Candidate) bool { return c.Fits }
 
-// Headroom prefers candidates with room.
+// Headroom prefers candidates with low utilization.
 type Headroom struct{}
 
 // Score implements Scorer.
 func (Headroom) Score(_ *Request, c *Candidate) float64 { return 1 - min(c.Utilization, 1.5) }
 
-// Speed prefers candidates that are no slower than the others.
+// TokenLatency lowers the score of candidates with a longer time between tokens
+// than is typical.
 type TokenLatency struct{}
 
 // Score implements Scorer.
@@ -88,7 +96,7 @@
 	return 1 / max(c.Slowness, 1)
 }
 
-// Near prefers candidates of the entry's own data centre.
+// Locality prefers candidates of the entry's own data centre.
 type Locality struct{}
 
 // Score implements Scorer.
@@ -99,10 +107,12 @@
 	return 0
 }
 
-// Prompt prefers candidates that can begin soon.
+// PrefillBacklog prefers candidates with few pending prefill tokens, which can
+// start a request soon.
 type PrefillBacklog struct {
-	// Tokens of backlog that cost one; more cost more, so that in a burst, when all
-	// engines have more, the shortest backlog still counts.
+	// ScaleTokens is the backlog that lowers the score by 1. A larger backlog
+	// lowers it further, without a floor, so that the shortest backlog still
+	// scores best in a burst, when all engines have more than ScaleTokens.
 	ScaleTokens float64
 }
 
@@ -111,19 +121,22 @@
 	return 1 - c.PrefillBacklog/p.ScaleTokens
 }
 
-// Pipeline is a set of filters and scorers in their order.
+// Pipeline excludes candidates by its filters, in order, and picks the one with
+// the highest weighted sum of scores.
 type Pipeline struct {
 	Filters []Filter
 	Scorers []WeightedScorer
-	// Anywhere rates all candidates together. Without it, those of other data
-	// centres are looked at only if no local one is kept.
+	// AllDataCenters rates the candidates of all data centres together. If it
+	// is false, remote candidates are considered only if no local one is
+	// eligible.
 	AllDataCenters bool
-	// Jitter is the size of the random number added to each score. It keeps
-	// entries with equal beliefs from choosing the same endpoint.
+	// Jitter is the upper bound of the random number added to each score. It
+	// keeps entries with the same view from all choosing the same endpoint.
 	Jitter float64
 }
 
-// Default is the pipeline of the entries.
+// LocalFirst returns the pipeline of entries that use other data centres only if
+// no local endpoint is eligible.
 func LocalFirst() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Available{}, FitsCapacity{}},
@@ -132,8 +145,9 @@
 	}
 }
 
-// Weights of Spread, in units of an engine's whole memory: a candidate of the own
-// data centre may be fuller by nearWeight.
+// Parameters of AcrossDataCenters. Weights are relative to utilization: other
+// things being equal, a local candidate is preferred until its utilization
+// exceeds that of a remote one by localityWeight.
 const (
 	localityWeight     = 0.5
 	tokenLatencyWeight = 1.0
@@ -141,8 +155,9 @@
 	acrossJitter       = 0.05
 )
 
-// Spread is the pipeline of entries that send work to all data centres: reading
-// long prompts is what engines are short of, so the load has to be even.
+// AcrossDataCenters returns the pipeline of entries that send work to all data
+// centres. Prefill of long prompts is the bottleneck of the engines, so the load
+// has to be balanced over all of them.
 func AcrossDataCenters() Pipeline {
 	return Pipeline{
 		Filters:        []Filter{Available{}, FitsCapacity{}},
@@ -152,10 +167,11 @@
 	}
 }
 
-// None is the index returned when no candidate is left.
+// None is the index that stands for no candidate.
 const None = -1
 
-// Choose returns the Index of the chosen candidate, or None.
+// Choose returns the Index of the chosen candidate, or None if no candidate is
+// eligible.
 func (p *Pipeline) Choose(rng *rand.Rand, r *Request, candidates []Candidate) int {
 	if best := p.best(rng, r, candidates, true); best != None {
 		return best
@@ -196,14 +212,18 @@
 	return sum
 }
 
-// Reason explains what a pipeline makes of one candidate.
+// Evaluation is the result of a pipeline for one candidate.
 type Evaluation struct {
-	Index    int
+	// Index is the Index of the candidate.
+	Index int
+	// Eligible is set if no filter excludes the candidate.
 	Eligible bool
-	Score    float64
+	// Score is the weighted sum of scores, without jitter.
+	Score float64
 }
 
-// Explain rates every candidate without choosing, for the operators.
+// Explain evaluates every candidate, excluded ones too, without choosing one. It
+// serves diagnostics for operators.
 func (p *Pipeline) Explain(r *Request, candidates []Candidate) []Evaluation {
 	evaluations := make([]Evaluation, 0, len(candidates))
 	for i := range candidates {
