--- a/pkg/lengths/example_test.go
+++ b/pkg/lengths/example_test.go
@@ -14,6 +14,6 @@
 		r.End(8)
 	}
 	p := e.Project(k, 40, 0)
-	fmt.Printf("about %.0f tokens to come; holds %.0f now, %.0f after 256 steps\n", e.Remaining(k, 0), p.Mean[0], p.Mean[2])
-	// Output: about 8 tokens to come; holds 40 now, 0 after 256 steps
+	fmt.Printf("about %.0f tokens remaining; holds %.0f now, %.0f after 256 steps\n", e.Remaining(k, 0), p.Mean[0], p.Mean[2])
+	// Output: about 8 tokens remaining; holds 40 now, 0 after 256 steps
 }
--- a/pkg/lengths/lengths.go
+++ b/pkg/lengths/lengths.go
@@ -1,37 +1,40 @@
-// Package lengths learns how long outputs are and projects the memory that
-// running requests will need.
+// Package lengths estimates output lengths and projects the memory that running
+// requests need.
 //
 // # Design
 //
-// The length of an output is unknown until it ends, so the estimator learns
-// from survival: for each bucket of a logarithmic scale it counts how many
-// requests reached the bucket and how many ended in it. A request that is
-// still running counts as having reached its buckets. When lengths shift
-// upwards the estimate therefore follows while the first long requests run,
-// not only after they have ended. Counts decay with each request that ends,
-// so that old lengths are forgotten.
+// The length of an output is unknown until it ends, so the estimator is a life
+// table: for each bucket of a logarithmic scale it counts the requests that
+// reached the bucket and those that ended in it, which gives a hazard per bucket
+// and the survival function. A running request is a censored observation: it
+// counts in the buckets that it has reached. When outputs become longer, the
+// estimate therefore rises while the first long requests are still running.
+// Counts decay exponentially with each completed request, so that recent lengths
+// weigh most.
 //
-// Estimates of a workspace and kind lean on those of the kind over all
-// workspaces while there are few requests, and these lean on a prior.
+// The estimate for a workspace and kind is shrunk towards that of the kind over
+// all workspaces while there are few requests, and the latter towards a prior.
 //
-// A Profile projects memory: the tokens that a request is expected to hold now
-// and after each of Horizons further steps, counting those that will have
-// ended as zero. The sum of the profiles of an engine's requests, compared
-// with its capacity at each horizon, says whether one more request fits. The
-// sum of final lengths would hold room for requests that never run at the same
-// time; the memory of the moment would not see growth that is sure to come.
+// A Profile projects memory: the expected number of tokens that a request holds
+// now and after each of Horizons further decoding steps, where a request that
+// has ended holds none. The sum of the profiles of an engine's requests,
+// compared with its capacity at each horizon, decides whether one more request
+// fits. Summing final lengths instead would reserve memory for requests that
+// never run at the same time; comparing current memory alone would ignore the
+// growth that is certain to come.
 //
-// The package does no I/O; the caller serialises calls.
+// The package does no I/O. Its types are not safe for concurrent use.
 package lengths
 
 import (
 	"math"
 )
 
-// Horizons are the further decoding steps of a Profile.
+// Horizons are the numbers of further decoding steps for which a Profile has a
+// value.
 var Horizons = [...]float64{0, 64, 256, 1024, 4096}
 
-// Profile holds tokens for each of Horizons.
+// Profile holds one value for each of Horizons, such as a number of tokens.
 type Profile [len(Horizons)]float64
 
 // Add returns the sum of two profiles.
@@ -59,14 +62,18 @@
 	return m
 }
 
-// Projection is what one request is expected to hold, with its variance.
+// Projection is the mean and variance of the tokens that a request, or several,
+// will hold.
 type Projection struct {
-	Mean     Profile
+	// Mean is the expected number of tokens.
+	Mean Profile
+	// Variance is the variance, in tokens squared.
 	Variance Profile
 }
 
-// Bound returns the projection of a request whose output is bounded: beyond the
-// bound it holds nothing. A bound of zero is none.
+// Bound limits the output of a request that has produced generated tokens to
+// maxOutput tokens: at horizons beyond the limit the request holds no memory. A
+// maxOutput of zero or less is no limit.
 func (p Projection) Bound(generated, maxOutput int) Projection {
 	if maxOutput <= 0 {
 		return p
@@ -80,33 +87,39 @@
 }
 
 const (
-	// bucketRatio is the ratio of neighbouring bucket bounds.
+	// bucketRatio is the ratio of the bounds of adjacent buckets.
 	bucketRatio = 1.3
-	// buckets cover outputs up to about 100,000 tokens.
+	// numBuckets covers outputs of up to about 100,000 tokens.
 	numBuckets = 44
-	// memory is the number of ended requests after which counts have decayed
-	// to about a third.
+	// decayRequests is the number of completed requests after which counts have
+	// decayed to about a third.
 	decayRequests = 150
-	// lean is how many requests the estimate of a kind counts for in that of a
-	// workspace, and leanPrior how many the prior counts for in that of a kind.
+	// parentWeight is the number of requests that the estimate of a kind counts
+	// for in that of a workspace and kind; priorWeight is the number that the
+	// prior counts for in the estimate of a kind.
 	parentWeight = 4
 	priorWeight  = 1
-	// PriorHazard is the share of outputs that end in each bucket from priorFrom
-	// tokens on, as assumed while nothing is known. From 0.231 on the expected
-	// length is finite. Before priorFrom few are assumed to end.
+	// PriorHazard is the prior share of outputs that end in each bucket from
+	// priorHazardMinTokens on. The expected length is finite from 0.231 on, where
+	// survival falls faster than bucketRatio widens the buckets. In buckets below
+	// priorHazardMinTokens, where few outputs are assumed to end, the prior is
+	// shortOutputPriorHazard.
 	PriorHazard            = 0.25
 	priorHazardMinTokens   = 64
 	shortOutputPriorHazard = 0.03
-	// maxChanges to a settled group, one with so many requests, go by before its
-	// survival is computed anew.
-	maxStaleChanges      = 16
-	staleReadMinRequests = 32
-	// rescaleAt keeps the growing weights of forward decay within range.
+	// A group with more than cacheMinRequests requests caches its survival function
+	// and recomputes it only after maxStaleChanges changes.
+	maxStaleChanges  = 16
+	cacheMinRequests = 32
+	// maxDecayWeight is the weight at which counts are rescaled. Forward decay
+	// increases the weight with each completed request, so that it would overflow.
 	maxDecayWeight = 1e9
 )
 
 var bucketBounds = makeBucketBounds()
 
+// makeBucketBounds returns the lower bounds of all buckets in tokens, followed by
+// the upper bound of the last.
 func makeBucketBounds() [numBuckets + 1]float64 {
 	var b [numBuckets + 1]float64
 	for i := 1; i <= numBuckets; i++ {
@@ -115,6 +128,8 @@
 	return b
 }
 
+// bucketIndex returns the bucket of an output length; the last bucket takes all
+// longer ones.
 func bucketIndex(tokens int) int {
 	lo, hi := 0, numBuckets-1
 	for lo < hi {
@@ -128,18 +143,24 @@
 	return lo
 }
 
-// Key groups requests whose lengths are alike.
+// Key identifies a group of requests with similar output lengths.
 type Key struct{ Workspace, Kind string }
 
-// group counts survival for one key, or for a kind over all workspaces.
+// group is the life table of one key, or of a kind over all workspaces.
 type group struct {
-	parent         *group
-	priorHazard    float64
-	weight         float64
-	reached        [numBuckets]float64
-	ended          [numBuckets]float64
-	cachedSurvival [numBuckets + 1]float64
-	// changes counts those that surv doesn't show yet.
+	// parent is the group of the kind; nil in that group itself.
+	parent      *group
+	priorHazard float64
+	// weight is what a new observation adds to a count. It grows with each
+	// completed request, which decays older counts in relation to new ones.
+	weight float64
+	// reached and ended are the weighted numbers of requests that reached a bucket
+	// and that ended in it.
+	reached [numBuckets]float64
+	ended   [numBuckets]float64
+	// cachedSurvival is the survival function as of changesSinceCached changes
+	// ago.
+	cachedSurvival     [numBuckets + 1]float64
 	changesSinceCached int
 }
 
@@ -169,6 +190,8 @@
 	g.weight = 1
 }
 
+// hazard returns the probability that an output which reaches the bucket ends in
+// it, shrunk towards the parent's estimate or the prior.
 func (g *group) hazard(b int) float64 {
 	reached := g.reached[b] / g.weight
 	ended := g.ended[b] / g.weight
@@ -185,9 +208,10 @@
 	return g.priorHazard
 }
 
-// survival returns the chance, by bucket bound, that an output is longer.
+// survival returns the survival function: for each of bucketBounds, the
+// probability that an output is longer.
 func (g *group) survival() *[numBuckets + 1]float64 {
-	if g.changesSinceCached == 0 || g.changesSinceCached < maxStaleChanges && g.reached[0] > staleReadMinRequests*g.weight {
+	if g.changesSinceCached == 0 || g.changesSinceCached < maxStaleChanges && g.reached[0] > cacheMinRequests*g.weight {
 		return &g.cachedSurvival
 	}
 	g.cachedSurvival[0] = 1
@@ -198,8 +222,8 @@
 	return &g.cachedSurvival
 }
 
-// longer gives the chance that an output is longer than tokens, by linear
-// interpolation within a bucket.
+// survivalAt returns the probability that an output is longer than tokens, by
+// linear interpolation within a bucket.
 func survivalAt(s *[numBuckets + 1]float64, tokens float64) float64 {
 	b := bucketIndex(int(tokens))
 	if b == numBuckets-1 && tokens >= bucketBounds[numBuckets] {
@@ -209,17 +233,19 @@
 	return s[b] + fraction*(s[b+1]-s[b])
 }
 
-// Estimator learns lengths per key.
+// Estimator estimates output lengths per key from observed requests.
 type Estimator struct {
 	kinds       map[string]*group
 	keys        map[Key]*group
 	priorHazard float64
 }
 
-// MaxKeys bounds the keys kept apart; further ones share their kind's group.
+// MaxKeys limits the number of keys with a group of their own. Further keys use
+// the group of their kind.
 const MaxKeys = 4096
 
-// New makes an estimator that knows only the prior.
+// New returns an estimator without observations. It assumes that priorHazard is
+// the share of outputs that end in each bucket; see PriorHazard.
 func New(priorHazard float64) *Estimator {
 	return &Estimator{kinds: map[string]*group{}, keys: map[Key]*group{}, priorHazard: priorHazard}
 }
@@ -246,13 +272,15 @@
 	return g
 }
 
-// Run follows one request. The zero value is not usable; see Start.
+// Tracker records the progress of one request. Use Start to make one; the zero
+// value is not usable.
 type Tracker struct {
-	group  *group
+	group *group
+	// bucket is the last bucket that the request has reached.
 	bucket int
 }
 
-// Start counts a request that begins to decode.
+// Start records that a request begins to decode.
 func (e *Estimator) Start(k Key) Tracker {
 	r := Tracker{group: e.group(k)}
 	r.recordReached(0)
@@ -266,8 +294,8 @@
 	}
 }
 
-// Advance counts the buckets that a request has newly reached, and reports
-// whether there were any.
+// Advance records that the request has produced generated tokens in total. It
+// reports whether the request has reached a new bucket.
 func (r *Tracker) Advance(generated int) bool {
 	b := bucketIndex(generated)
 	if b <= r.bucket {
@@ -280,8 +308,8 @@
 	return true
 }
 
-// End counts a request whose output was complete with this many tokens. A
-// request that was cut short must not be counted.
+// End records an output that is complete with length tokens. It must not be
+// called for an output that was cut short, whose full length is unknown.
 func (r *Tracker) End(length int) {
 	r.Advance(length)
 	r.group.recordEnded(r.bucket)
@@ -290,12 +318,13 @@
 	}
 }
 
-// Project gives the memory that a request is expected to hold.
+// Project returns the projected memory of a request whose prompt has prompt tokens
+// and which has produced generated output tokens.
 func (e *Estimator) Project(k Key, prompt, generated int) Projection {
 	return project(e.group(k), prompt, generated)
 }
 
-// Project gives the memory that a running request is expected to hold.
+// Project returns the projected memory of the tracked request.
 func (r *Tracker) Project(prompt, generated int) Projection {
 	return project(r.group, prompt, generated)
 }
@@ -313,7 +342,8 @@
 	return projection
 }
 
-// Remaining gives the expected number of tokens still to come.
+// Remaining returns the expected number of further output tokens of a request that
+// has produced generated tokens.
 func (e *Estimator) Remaining(k Key, generated int) float64 {
 	s := e.group(k).survival()
 	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
--- a/pkg/lengths/lengths_test.go
+++ b/pkg/lengths/lengths_test.go
@@ -27,8 +27,8 @@
 	g.Expect(e.Remaining(k, 400)).To(BeNumerically("<", 300))
 }
 
-// TestFollowsAShiftBeforeItEnds: long requests that still run raise the
-// estimate for new ones.
+// Running requests that are longer than earlier ones must raise the estimate
+// before any of them has ended.
 func TestRunningRequestsRaiseEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
@@ -45,7 +45,8 @@
 	g.Expect(e.Remaining(k, 0)).To(BeNumerically(">", 2*before))
 }
 
-// TestANewWorkspaceLeansOnItsKind: no request of the workspace is needed.
+// A workspace without requests must use the estimate of its kind in other
+// workspaces.
 func TestNewWorkspaceUsesKindEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestANewKindIsNotTakenForShort: memory must be kept for what nothing is known
-// of.
+// An unknown kind must not be assumed to have short outputs, else too little
+// memory is reserved for it.
 func TestUnknownKindIsNotAssumedShort(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
