--- a/pkg/limits/limits.go
+++ b/pkg/limits/limits.go
@@ -1,14 +1,16 @@
-// Package limits holds the table's limits over entries that share nothing.
+// Package limits enforces the table's limits across entries that share no state.
 //
-// Each entry knows its own use and, from the exchange, what the others said of
-// theirs. It may take one more if the known sum is below the limit. While it is in
-// doubt, because a peer that it counts has not been heard of for a while, it
-// also has its floor, the limit divided by the published entries, so that the
-// last words of a peer that is gone can't shut it out. Overshoot is what all
-// take while news is under way; under a cut each side may go up to the limit.
+// Each entry counts its own usage and receives that of its peers by gossip. It
+// admits a request if the sum of both is below the limit. While the sum is
+// uncertain, because a peer in it has sent no update for a while, the entry also
+// admits requests up to a floor, the limit divided by the number of published
+// entries, so that the last usage received from a peer that has ended can't block
+// it. Limits are soft: usage may exceed a limit by what the entries admit while
+// updates are in transit, and in a network partition each side may use the whole
+// limit.
 //
-// Only limits under pressure are exchanged, the ones used most first, and at
-// most MaxPublished; the others are far from mattering.
+// Only usage close enough to its limit to matter is published, the most utilized
+// limits first, and at most MaxPublished of them.
 package limits
 
 import (
@@ -18,35 +20,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxPublished bounds the limits of which an entry tells its use.
+// MaxPublished is the maximum number of limits for which an entry publishes its
+// usage.
 const MaxPublished = 16
 
-// pressure is the share of a limit from which on its use is told: the known use
-// of all, or what it would be if all entries used as much as this one. What no
-// entry tells is therefore below this share in sum.
+// publishThreshold is the share of a limit from which on its usage is published.
+// It is compared with the known usage of all entries and with what the usage
+// would be if all entries used as much as this one. The usage that no entry
+// publishes therefore adds up to less than this share.
 const publishThreshold = 0.05
 
-// Key names a limit: a workspace and a kind.
+// Key identifies a limit.
 type Key struct{ Workspace, Kind string }
 
-// Hash names a key in the exchange. Two keys with one hash would only count for
-// each other.
+// Hash identifies a key in gossip messages. If the hashes of two keys
+// collide, the usage of each also counts towards the limit of the other; that is
+// the only effect.
 type Hash uint32
 
-// Hash computes the hash of a key.
+// Hash returns the hash of the key.
 func (k Key) Hash() Hash { return Hash(xxhash.Sum64String(k.Workspace + "\x00" + k.Kind)) }
 
-// Counter holds one entry's view. The caller serialises calls.
+// Counter holds one entry's own usage and its view of its peers'. It is not safe
+// for concurrent use.
 type Counter struct {
-	own       map[Key]int
-	limits    map[Key]int
-	peers     map[string]map[Hash]int
-	peerSums  map[Hash]int
-	entries   int
+	// own is the entry's own usage, and limits the limit at its last Acquire.
+	own    map[Key]int
+	limits map[Key]int
+	// peers holds the usage of each peer by VM, and peerSums their sum.
+	peers    map[string]map[Hash]int
+	peerSums map[Hash]int
+	// entries is the number of published entries, this one included.
+	entries int
+	// uncertain is set while the usage of a peer in the sum is stale.
 	uncertain bool
 }
 
-// New makes a counter of a single entry.
+// New returns a counter for an entry without peers.
 func New() *Counter {
 	return &Counter{
 		own:      map[Key]int{},
@@ -57,13 +67,13 @@
 	}
 }
 
-// SetEntries sets the number of published entries, this one included.
+// SetEntryCount sets the number of published entries, this one included.
 func (c *Counter) SetEntryCount(n int) { c.entries = max(n, 1) }
 
-// SetDoubt says whether a peer that is counted has not been heard of lately.
+// SetUncertain sets whether the usage of a peer in the sum is stale.
 func (c *Counter) SetUncertain(uncertain bool) { c.uncertain = uncertain }
 
-// SetPeer replaces what a peer said of its use; nil forgets the peer.
+// SetPeerUsage replaces the usage of a peer; nil removes the peer.
 func (c *Counter) SetPeerUsage(vm string, usage map[Hash]int) {
 	for k, n := range c.peers[vm] {
 		c.peerSums[k] -= n
@@ -81,7 +91,7 @@
 	}
 }
 
-// Allows reports whether one more may be taken under a limit.
+// Allows reports whether one more request may be admitted under a limit.
 func (c *Counter) Allows(k Key, limit int) bool {
 	own := c.own[k]
 	if c.uncertain && own < limit/c.entries {
@@ -90,6 +100,7 @@
 	return own+c.peerUsage(k) < limit
 }
 
+// peerUsage returns the known usage of the peers.
 func (c *Counter) peerUsage(k Key) int {
 	if len(c.peerSums) == 0 {
 		return 0
@@ -97,13 +108,13 @@
 	return c.peerSums[k.Hash()]
 }
 
-// Take counts one more under a limit.
+// Acquire counts one more request under a limit, without checking it.
 func (c *Counter) Acquire(k Key, limit int) {
 	c.own[k]++
 	c.limits[k] = limit
 }
 
-// Release counts one less.
+// Release undoes one Acquire.
 func (c *Counter) Release(k Key) {
 	c.own[k]--
 	if c.own[k] <= 0 {
@@ -112,15 +123,17 @@
 	}
 }
 
-// Use is the own use of one limit.
+// Usage is an entry's own usage of one limit.
 type Usage struct {
 	Hash  Hash
 	Count int
 
+	// utilization is the estimated usage of all entries as a share of the limit.
 	utilization float64
 }
 
-// Published returns the own use that the others need to know.
+// PublishedUsage returns the own usage that peers need, the most utilized limits
+// first.
 func (c *Counter) PublishedUsage() []Usage {
 	var usage []Usage
 	for k, n := range c.own {
@@ -139,5 +152,5 @@
 	return usage[:min(len(usage), MaxPublished)]
 }
 
-// Sum returns the use known over all entries.
+// TotalUsage returns the known usage of all entries.
 func (c *Counter) TotalUsage(k Key) int { return c.own[k] + c.peerUsage(k) }
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -12,8 +12,9 @@
 
 var key = limits.Key{Workspace: "w", Kind: "k"}
 
-// overshoot plays entries that all want as much as they can get and hear of each
-// other every so many steps, and returns the highest use above the limit.
+// maxOvershoot simulates entries that acquire whenever they may and exchange their
+// usage every exchangeInterval steps within each of the partitions. It returns the
+// highest total usage above the limit.
 func maxOvershoot(entries, limit, exchangeInterval int, partitions int) int {
 	rng := rand.New(rand.NewPCG(4, 4))
 	counters := make([]*limits.Counter, entries)
@@ -45,6 +46,8 @@
 	return worst
 }
 
+// exchangeUsage sends the published usage of each entry to all peers in the same
+// partition.
 func exchangeUsage(counters []*limits.Counter, partitions int) {
 	for i, from := range counters {
 		usage := map[limits.Hash]int{}
@@ -62,12 +65,12 @@
 func TestOvershootIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	for _, entries := range []int{3, 9, 30} {
-		g.Expect(maxOvershoot(entries, 64, 1, 1)).To(BeNumerically("<=", 2), "%d entries with fresh news", entries)
+		g.Expect(maxOvershoot(entries, 64, 1, 1)).To(BeNumerically("<=", 2), "%d entries that exchange usage after each request", entries)
 		delayed := maxOvershoot(entries, 64, 10, 1)
-		t.Logf("%d entries, news every 10 requests: %d over 64", entries, delayed)
+		t.Logf("%d entries, usage exchanged every 10 requests: %d over 64", entries, delayed)
 		g.Expect(delayed).To(BeNumerically("<=", 12))
 		partitioned := maxOvershoot(entries, 64, 10, 2)
-		t.Logf("%d entries, cut in two: %d over 64", entries, partitioned)
+		t.Logf("%d entries in two partitions: %d over 64", entries, partitioned)
 		g.Expect(partitioned).To(BeNumerically("<=", 64+12))
 	}
 }
@@ -76,7 +79,7 @@
 	g := NewWithT(t)
 	c := limits.New()
 	c.SetEntryCount(4)
-	c.SetPeerUsage("gone", map[limits.Hash]int{key.Hash(): 1000})
+	c.SetPeerUsage("ended-peer", map[limits.Hash]int{key.Hash(): 1000})
 	g.Expect(c.Allows(key, 20)).To(BeFalse())
 	c.SetUncertain(true)
 	for range 5 {
@@ -84,11 +87,12 @@
 		c.Acquire(key, 20)
 	}
 	g.Expect(c.Allows(key, 20)).To(BeFalse())
-	c.SetPeerUsage("gone", nil)
+	c.SetPeerUsage("ended-peer", nil)
 	g.Expect(c.Allows(key, 20)).To(BeTrue())
 }
 
-// TestManySmallUsesAreSeen: many entries with one each must not add up unseen.
+// The small usage of many entries must be published, else it adds up beyond the
+// limit unnoticed.
 func TestManySmallUsagesArePublished(t *testing.T) {
 	g := NewWithT(t)
 	const entries, limit = 100, 64
