--- a/pkg/retry/breaker.go
+++ b/pkg/retry/breaker.go
@@ -8,39 +8,41 @@
 // BreakerState is the state of a circuit breaker.
 type BreakerState int
 
-// The states.
+// The states. A probe that neither succeeds nor fails is followed by another one.
 //
-//	[closed] --failures in a row--> [open] --cool-down--> [half-open]
-//	    ^                             ^                      |   |
-//	    +------ probe succeeded ------|----------------------+   |
-//	                                  +------- probe failed -----+
-//	                 a probe that shows neither is followed by another
+//	[closed] --consecutive failures--> [open] --cool-down--> [half-open]
+//	    ^                                ^                      |   |
+//	    +-------- probe succeeded -------|----------------------+   |
+//	                                     +------- probe failed -----+
 const (
 	Closed BreakerState = iota
 	Open
 	HalfOpen
 )
 
-// String names the state for status pages.
+// String returns the name of the state in status pages.
 func (s BreakerState) String() string {
 	return [...]string{"closed", "open", "half_open"}[s]
 }
 
-// Breaker settings.
+// Parameters of Breaker.
 const (
 	defaultFailureThreshold = 3
 	initialCoolDown         = 500 * time.Millisecond
-	// coolDownMax bounds for how long an endpoint that is back stays without work. With
-	// 15 s an entry whose data centre had been cut off refused requests for 20 s after
-	// an endpoint of another one could be reached.
-	maxCoolDown  = 2 * time.Second
+	// maxCoolDown limits the delay until a recovered endpoint is used again. With 15 s,
+	// an entry whose data centre had been partitioned refused requests for 20 s after
+	// an endpoint of another data centre became reachable.
+	maxCoolDown = 2 * time.Second
+	// probeTimeout is the time after which a probe without a result no longer blocks
+	// the next one.
 	probeTimeout = 10 * time.Second
 )
 
-// Breaker keeps work away from an endpoint that fails. The zero value is
-// closed. The caller serialises calls.
+// Breaker is a circuit breaker that keeps requests away from an endpoint that
+// fails. The zero value is closed. A Breaker is not safe for concurrent use.
 type Breaker struct {
-	// Threshold is how many failures in a row open it; zero is failuresToOpen.
+	// FailureThreshold is the number of consecutive failures that opens the breaker;
+	// zero is defaultFailureThreshold.
 	FailureThreshold int
 
 	consecutiveFailures int
@@ -51,7 +53,7 @@
 	probeSentAt         time.Time
 }
 
-// State gives the state at a time.
+// State returns the state at the time now.
 func (b *Breaker) State(now time.Time) BreakerState {
 	if !b.open {
 		return Closed
@@ -62,11 +64,12 @@
 	return HalfOpen
 }
 
-// Opened reports whether the breaker has opened and not been closed by a success since.
+// Opened reports whether the breaker is open or half-open: it has opened, and no
+// success has closed it since.
 func (b *Breaker) Opened() bool { return b.open }
 
-// Allow reports whether a request may go to the endpoint. In the half-open
-// state it allows one probe at a time.
+// Allow reports whether a request may be sent to the endpoint. In the half-open
+// state only one request at a time may, as a probe.
 func (b *Breaker) Allow(now time.Time) bool {
 	switch b.State(now) {
 	case Closed:
@@ -78,13 +81,14 @@
 	}
 }
 
-// Believed reports whether requests had better not wait for the endpoint: it has
-// failed a probe since the breaker opened, and no other probe may go out now.
+// ConfirmedDown reports whether the endpoint has failed a probe since the breaker
+// opened, and no probe may be sent now. Requests should not wait for it then.
 func (b *Breaker) ConfirmedDown(now time.Time) bool {
 	return b.open && b.coolDown > initialCoolDown && !b.Allow(now)
 }
 
-// ProbeIn is how long it takes until the next probe may go out; zero is now.
+// TimeToProbe returns the time until the next request may be sent to the endpoint;
+// zero is now.
 func (b *Breaker) TimeToProbe(now time.Time) time.Duration {
 	switch b.State(now) {
 	case Closed:
@@ -99,7 +103,8 @@
 	}
 }
 
-// Sent records that a request goes to the endpoint.
+// RecordSent records that a request is sent to the endpoint. In the half-open state
+// the request is a probe.
 func (b *Breaker) RecordSent(now time.Time) {
 	if b.State(now) == HalfOpen {
 		b.probeInFlight = true
@@ -107,9 +112,10 @@
 	}
 }
 
-// Inconclusive records that a request ended without showing whether the endpoint is back:
-// its caller left, or the endpoint takes no new work. Another probe may go out at once,
-// unless this one was silent for so long that it counts as failed.
+// RecordInconclusive records that a request ended without showing whether the endpoint
+// has recovered, because its caller disconnected or the endpoint takes no new work.
+// Another probe may be sent at once, unless this one ended initialCoolDown or later
+// after it was sent: an endpoint that is silent for so long counts as failed.
 func (b *Breaker) RecordInconclusive(now time.Time) {
 	if b.probeInFlight && now.Sub(b.probeSentAt) >= initialCoolDown {
 		b.RecordFailure(now)
@@ -118,16 +124,18 @@
 	b.probeInFlight = false
 }
 
-// Trip opens the breaker at once: the endpoint can't be reached.
+// Trip opens the breaker whatever the number of failures so far, for an endpoint that
+// can't be reached.
 func (b *Breaker) Trip(now time.Time) {
 	b.consecutiveFailures = b.failureThreshold() - 1
 	b.RecordFailure(now)
 }
 
-// Success closes the breaker.
+// RecordSuccess records a success and closes the breaker.
 func (b *Breaker) RecordSuccess() { *b = Breaker{FailureThreshold: b.FailureThreshold} }
 
-// Failure counts a failure and opens the breaker after enough in a row.
+// RecordFailure records a failure. It opens the breaker if the threshold is reached,
+// and reopens a half-open breaker with a longer cool-down.
 func (b *Breaker) RecordFailure(now time.Time) {
 	b.consecutiveFailures++
 	b.probeInFlight = false
@@ -144,6 +152,8 @@
 
 func (b *Breaker) failureThreshold() int { return cmp.Or(b.FailureThreshold, defaultFailureThreshold) }
 
+// reopen starts a cool-down of twice the length, up to maxCoolDown. During a cool-down
+// it does nothing, since the failure is one of a request sent before.
 func (b *Breaker) reopen(now time.Time) {
 	if now.Sub(b.openedAt) < b.coolDown {
 		return
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -4,38 +4,39 @@
 	"time"
 )
 
-// Budget bounds retries to a share of first attempts. It is a bucket that
-// each first attempt fills by Share and each retry empties by one.
+// Budget limits retries to a share of first attempts. It is a token bucket: each
+// first attempt adds Ratio tokens, and each retry takes one. A Budget is not safe
+// for concurrent use.
 type Budget struct {
-	// Share of first attempts that may be retried, such as 0.1.
+	// Ratio is the number of retries allowed per first attempt, such as 0.1.
 	Ratio float64
-	// Burst is the most that can be saved up.
+	// Burst is the maximum number of tokens in the bucket.
 	Burst float64
 
 	tokens float64
 }
 
-// DefaultShare and DefaultBurst suit a fleet whose endpoints rarely fail.
+// DefaultRatio and DefaultBurst suit a fleet whose endpoints rarely fail.
 const (
 	DefaultRatio = 0.1
 	DefaultBurst = 10
 )
 
-// NewBudget makes a full budget with the defaults.
+// NewBudget returns a full budget with the default ratio and burst.
 func NewBudget() *Budget { return NewBudgetWith(DefaultRatio, DefaultBurst) }
 
-// NewBudgetOf makes a full budget.
+// NewBudgetWith returns a full budget.
 func NewBudgetWith(ratio, burst float64) *Budget {
 	return &Budget{Ratio: ratio, Burst: burst, tokens: burst}
 }
 
-// First records a first attempt.
+// RecordFirstAttempt adds the tokens of a first attempt.
 func (b *Budget) RecordFirstAttempt() { b.tokens = min(b.tokens+b.Ratio, b.Burst) }
 
-// Left reports whether a retry is allowed.
+// Available reports whether a retry is allowed.
 func (b *Budget) Available() bool { return b.tokens >= 1 }
 
-// Spend takes one retry; it returns false if none is left.
+// Spend takes the token of one retry. It returns false if a retry isn't allowed.
 func (b *Budget) Spend() bool {
 	if !b.Available() {
 		return false
@@ -44,14 +45,14 @@
 	return true
 }
 
-// Backoff bounds.
+// Parameters of Backoff.
 const (
 	backoffBase = 20 * time.Millisecond
 	maxBackoff  = 2 * time.Second
 )
 
-// Backoff gives the wait before the n-th retry, counted from one, with full
-// jitter.
+// Backoff returns the delay before the n-th retry, counted from one: exponential
+// backoff with full jitter. random returns numbers between 0 and 1.
 func Backoff(n int, random func() float64) time.Duration {
 	limit := maxBackoff
 	if n < 8 {
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,9 +1,10 @@
-// Package retry decides what follows a failed attempt.
+// Package retry decides what to do after a failed attempt at a request, and holds
+// the retry budgets, the backoff and the circuit breakers.
 //
-// Decide is a pure function of the attempt and its failure. What bounds
-// retries as a whole are budgets: retries of a workspace, and at an endpoint,
-// can't exceed a fixed share of first attempts, so that a failing fleet isn't
-// given more work than a healthy one.
+// Decide is a pure function of the failed attempt. Budgets limit the total of
+// retries: those of a workspace, and those at an endpoint, can't exceed a fixed
+// share of first attempts, so that retries don't overload a fleet that is already
+// failing.
 package retry
 
 import (
@@ -12,77 +13,85 @@
 	"github.com/bridgehoist/bridgehoist/pkg/outcome"
 )
 
-// Failure is why an attempt ended.
+// Failure is the reason why an attempt failed.
 type Failure int
 
 // The failures.
 const (
-	// NotSent: no byte of the request can have reached the endpoint.
+	// NotSent means that no byte of the request can have reached the endpoint.
 	NotSent Failure = iota
-	// RefusedBeforeExecution: the endpoint's protocol says that it did not run.
+	// RefusedBeforeExecution means that the endpoint refused the request with a
+	// reply that its protocol defines as before execution.
 	RefusedBeforeExecution
-	// LinkLost: the connection broke or stalled; the generation may go on.
+	// LinkLost means that the connection broke or stalled; the generation may still
+	// be running.
 	LinkLost
-	// GenerationLost: the endpoint no longer knows the generation, or is gone.
+	// GenerationLost means that the endpoint no longer has the generation, or that the
+	// endpoint itself has ended.
 	GenerationLost
-	// Protocol: the endpoint's reply made no sense.
+	// ProtocolError means that the endpoint's reply violates the protocol.
 	ProtocolError
-	// AnsweredError: the endpoint ran the request and answered with an error of its
-	// own, which the caller can have.
+	// AnsweredError means that the endpoint ran the request and answered with an error
+	// of its own, which may be passed on to the caller.
 	AnsweredError
-	// CallerGone: nobody reads the answer any more.
+	// CallerGone means that the caller has disconnected.
 	CallerGone
 )
 
-// String names the failure for metrics and logs.
+// String returns the name of the failure in metrics and logs.
 func (f Failure) String() string {
 	return [...]string{"not_sent", "refused_before_execution", "link_lost", "generation_lost", "protocol", "answered_error", "caller_gone"}[f]
 }
 
-// Attempt is what is known when an attempt has failed.
+// Attempt describes a request after one of its attempts has failed.
 type Attempt struct {
-	Failure    Failure
+	// Failure is the reason why the last attempt failed.
+	Failure Failure
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool
-	// Resumable says that another run may go on after what was released.
+	// Resumable is set if another run may continue the answer after the tokens
+	// that were released.
 	Resumable bool
-	// Bound says that a generation is known that could be resumed.
+	// GenerationKnown is set if there is a generation that could be resumed.
 	GenerationKnown bool
-	// Released counts the tokens that the caller has received.
+	// Released is the number of tokens that the caller has received.
 	Released int
-	// Resumes counts the resumptions without progress so far.
+	// Resumes is the number of consecutive resumptions without a token.
 	Resumes int
-	// Runs counts the attempts so far, this one included.
+	// Attempts is the number of attempts so far, this one included.
 	Attempts int
-	// Sent counts those of which bytes may have reached an endpoint, and MaxSent
-	// bounds them; zero leaves the bound to MaxRuns.
+	// SentAttempts is the number of attempts of which bytes may have reached an
+	// endpoint, and MaxSentAttempts its limit; if zero, only MaxTotalAttempts
+	// applies.
 	SentAttempts    int
 	MaxSentAttempts int
-	// EarlierMayHaveRun says that an attempt before this one may have run.
+	// EarlierMayHaveRun is set if the request may have run in an earlier attempt.
 	EarlierMayHaveRun bool
-	// BudgetLeft says that workspace and endpoint may still retry.
+	// BudgetAvailable is set if the retry budgets of the workspace and the endpoint
+	// allow a retry.
 	BudgetAvailable bool
-	// TimeLeft until the request's timeout.
+	// TimeLeft is the time until the request's timeout.
 	TimeLeft time.Duration
 }
 
-// Step is what to do next.
+// Step is the action to take after a failed attempt.
 type Step int
 
 // The steps.
 const (
-	// GiveUp: answer with the outcome, at once.
+	// GiveUp ends the request with the outcome of the Decision.
 	GiveUp Step = iota
-	// Resume the same generation from the next token.
+	// Resume continues the same generation from the next token.
 	Resume
-	// Again: a new run, at another endpoint if there is one.
+	// Rerun starts a new run, at another endpoint if there is one.
 	Rerun
 )
 
-// Bounds on one request.
+// Limits of one request.
 const (
-	// MaxResumes without a token in between.
+	// MaxResumes is the maximum number of consecutive resumptions without a token.
 	MaxResumes = 4
-	// MaxRuns of one request.
+	// MaxTotalAttempts is the maximum number of attempts, sent or not.
 	MaxTotalAttempts = 3
 )
 
@@ -92,7 +101,7 @@
 	Outcome outcome.Outcome
 }
 
-// Decide says what follows a failed attempt.
+// Decide returns the step to take after a failed attempt.
 func Decide(a Attempt) Decision {
 	if canResume(a) {
 		return Decision{Step: Resume}
@@ -117,7 +126,7 @@
 	if a.MaxSentAttempts > 0 && a.SentAttempts >= a.MaxSentAttempts {
 		return false
 	}
-	// What no endpoint has received puts no load on any.
+	// A request that was not sent has put no load on any endpoint.
 	if a.Failure != NotSent && !a.BudgetAvailable {
 		return false
 	}
@@ -136,7 +145,7 @@
 	return outcome.MayHaveRun
 }
 
-// String names the step for metrics.
+// String returns the name of the step in metrics.
 func (s Step) String() string {
 	return [...]string{"give_up", "resume", "again"}[s]
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -14,7 +14,7 @@
 
 func init() { fixedseed.Set() }
 
-// TestDecide holds the rules over all attempts that can be.
+// TestDecide checks the rules of Decide for random attempts.
 func TestDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := retry.Attempt{
@@ -35,23 +35,23 @@
 		provenNotRun := a.Failure == retry.NotSent || a.Failure == retry.RefusedBeforeExecution
 		switch {
 		case d.Step == retry.Rerun && !a.Idempotent && !provenNotRun:
-			t.Fatal("a non-idempotent request is run again without a proof")
+			t.Fatal("a non-idempotent request that may have run is run again")
 		case d.Step == retry.Rerun && a.Released > 0 && !a.Resumable:
-			t.Fatal("another run after the caller received a token")
+			t.Fatal("a request that isn't resumable is run again after a token was released")
 		case d.Step == retry.Rerun && a.Failure == retry.CallerGone:
-			t.Fatal("another run for nobody")
+			t.Fatal("a request is run again after its caller disconnected")
 		case d.Step != retry.GiveUp && a.TimeLeft <= 0:
-			t.Fatal("no time is left")
+			t.Fatal("a step other than giving up after the timeout")
 		case d.Step == retry.Rerun && !a.BudgetAvailable && a.Failure != retry.NotSent:
-			t.Fatal("the budget is spent")
+			t.Fatal("a rerun without budget")
 		case d.Step == retry.Rerun && a.MaxSentAttempts > 0 && a.SentAttempts >= a.MaxSentAttempts:
-			t.Fatal("sent to more endpoints than allowed")
+			t.Fatal("a rerun after the maximum number of sent attempts")
 		case d.Step != retry.GiveUp:
 			return
 		case d.Outcome == outcome.NotRun && (!provenNotRun || a.EarlierMayHaveRun || a.Released > 0):
-			t.Fatal("not run without a proof")
+			t.Fatal("outcome not_run of a request that may have run")
 		case a.Released > 0 && d.Outcome != outcome.Incomplete:
-			t.Fatalf("%v after tokens were released", d.Outcome)
+			t.Fatalf("outcome %v after tokens were released", d.Outcome)
 		}
 	})
 }
@@ -93,8 +93,8 @@
 	g.Expect(b.State(now)).To(Equal(retry.Closed))
 }
 
-// TestNothingIsRunForNobody: the random attempts of TestDecide seldom have all that a
-// second run needs, so this one has it, but for a caller.
+// A request must not run again after its caller has disconnected. The random attempts
+// of TestDecide rarely meet all other conditions of a rerun, so that they can miss this.
 func TestNoRerunAfterCallerDisconnected(t *testing.T) {
 	g := NewWithT(t)
 	a := retry.Attempt{Failure: retry.LinkLost, Idempotent: true, Resumable: true, Released: 2, Attempts: 1, BudgetAvailable: true, TimeLeft: time.Second}
