--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,11 +1,10 @@
-// Package outcome holds the final outcomes of a request and the typed error
+// Package outcome defines the final outcomes of a request and the error type
 // that carries them.
 //
-// Every request ends in exactly one outcome. NotRun is a proof and never a
-// guess: it is used only if no byte of the request can have reached an
-// endpoint, or if the endpoint refused by a reply that its protocol defines as
-// before execution. Everything uncertain is MayHaveRun. (Brief, "What must
-// always hold".)
+// Every request ends in exactly one outcome. NotRun is a guarantee: it is used
+// only if no byte of the request can have reached an endpoint, or if the
+// endpoint refused the request with a reply that its protocol defines as before
+// execution. If that is uncertain, the outcome is MayHaveRun.
 package outcome
 
 import (
@@ -21,17 +20,17 @@
 const (
 	// Unknown is the zero value; it is never sent.
 	Unknown Outcome = iota
-	// Complete says that the caller has the whole answer.
+	// Complete means that the caller has received the whole answer.
 	Complete
-	// NotRun says that the request did not run.
+	// NotRun means that the request did not run.
 	NotRun
-	// MayHaveRun says that the request may have run and its answer is lost.
+	// MayHaveRun means that the request may have run and its answer is lost.
 	MayHaveRun
-	// Incomplete says that the caller has received a part of one answer.
+	// Incomplete means that the caller has received a part of one answer.
 	Incomplete
 )
 
-// String gives the name used on the wire, in metrics and in logs.
+// String returns the name of the outcome on the wire, in metrics and in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Complete:
@@ -47,7 +46,7 @@
 	}
 }
 
-// Parse reads a name made by String.
+// Parse returns the outcome with the name that String returns, or Unknown.
 func Parse(name string) Outcome {
 	for _, o := range []Outcome{Complete, NotRun, MayHaveRun, Incomplete} {
 		if o.String() == name {
@@ -60,9 +59,9 @@
 // Code is the machine-readable cause of an outcome.
 type Code string
 
-// The codes, grouped by who can act on them.
+// The codes, grouped by where the cause lies.
 const (
-	// Callers.
+	// The request or its caller.
 	CodeBadRequest        Code = "bad_request"
 	CodeBodyTooLarge      Code = "body_too_large"
 	CodeMethodNotAllowed  Code = "method_not_allowed"
@@ -77,23 +76,24 @@
 	CodeAnswerNotKept     Code = "answer_not_kept"
 	CodeOwnerUnreachable  Code = "owner_unreachable"
 	CodeOwnerReplaced     Code = "owner_replaced"
-	// Load.
+	// Load and limits.
 	CodeLimitReached        Code = "limit_reached"
 	CodeQueueFull           Code = "queue_full"
 	CodeEntryBusy           Code = "entry_busy"
 	CodeDeadlineUnreachable Code = "deadline_unreachable"
 	CodeQueueTimeExceeded   Code = "queue_time_exceeded"
-	// Fleet.
+	// Endpoints and entries.
 	CodeNoEndpoint      Code = "no_endpoint"
 	CodeEndpointLost    Code = "endpoint_lost"
 	CodeEndpointRefused Code = "endpoint_refused"
-	// CodeEndpointsThrottling: the endpoints have said that they take less than is asked for.
+	// CodeEndpointsThrottling means that the limits reported by the endpoints are below
+	// the demand.
 	CodeEndpointsThrottling   Code = "endpoints_throttling"
 	CodeEndpointProtocolError Code = "endpoint_protocol_error"
 	CodeStalled               Code = "stalled"
 	CodeStopping              Code = "stopping"
 	CodeNoTable               Code = "no_table"
-	// CodeQuarantined: the request crashes the endpoints that run it.
+	// CodeQuarantined means that the request crashes the endpoints that run it.
 	CodeQuarantined Code = "quarantined"
 )
 
@@ -101,10 +101,12 @@
 type Error struct {
 	Outcome Outcome
 	Code    Code
+	// Message explains the error to the caller.
 	Message string
-	// RetryAfter says when to come back; zero says nothing.
+	// RetryAfter is the delay after which the caller may retry; zero means that
+	// none is given.
 	RetryAfter time.Duration
-	// Delivered counts the tokens that the caller has received.
+	// Delivered is the number of tokens that the caller has received.
 	Delivered int
 }
 
@@ -113,28 +115,29 @@
 	return fmt.Sprintf("%s: %s: %s", e.Outcome, e.Code, e.Message)
 }
 
-// New makes an error.
+// New returns an error with a formatted message.
 func New(o Outcome, c Code, format string, args ...any) *Error {
 	return &Error{Outcome: o, Code: c, Message: fmt.Sprintf(format, args...)}
 }
 
-// NotRunf makes a NotRun error.
+// NotRunf returns an error with the outcome NotRun.
 func NotRunf(c Code, format string, args ...any) *Error {
 	return New(NotRun, c, format, args...)
 }
 
-// MayHaveRunf makes a MayHaveRun error.
+// MayHaveRunf returns an error with the outcome MayHaveRun.
 func MayHaveRunf(c Code, format string, args ...any) *Error {
 	return New(MayHaveRun, c, format, args...)
 }
 
-// After returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of the error with a delay for the caller's retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
+// statusByCode holds the HTTP status of codes that have one of their own.
 var statusByCode = map[Code]int{
 	CodeBadRequest:        http.StatusBadRequest,
 	CodeBodyTooLarge:      http.StatusRequestEntityTooLarge,
@@ -150,12 +153,12 @@
 	CodeQueueFull:         http.StatusTooManyRequests,
 }
 
-// badGateway are the codes that blame an endpoint, where the request may have
-// run. Where it has not, the status is the promise of 503.
+// badGatewayCodes are the codes of endpoint failures, with status 502 if the
+// request may have run. If it has not, the status is 503, which guarantees that.
 var badGatewayCodes = map[Code]bool{CodeEndpointProtocolError: true, CodeEndpointLost: true}
 
-// Promises reports whether a status tells callers that their request has not
-// run and never will.
+// StatusMeansNotRun reports whether an HTTP status guarantees to callers that
+// their request has not run and never will.
 func StatusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -166,7 +169,8 @@
 	}
 }
 
-// Status gives the HTTP status of the error.
+// Status returns the HTTP status of the error. Statuses that guarantee that the
+// request has not run are returned only for the outcome NotRun.
 func (e *Error) Status() int {
 	s, ok := statusByCode[e.Code]
 	if ok && (e.Outcome == NotRun || !StatusMeansNotRun(s)) {
