--- a/pkg/stream/events.go
+++ b/pkg/stream/events.go
@@ -7,45 +7,51 @@
 	"github.com/pkg/errors"
 )
 
-// Splitter cuts the bytes of an event stream into whole events, so that a
-// stream that breaks off within an event passes no part of it on.
+// Splitter splits the bytes of a server-sent event stream into complete events, so
+// that no part of an event is passed on if the stream breaks within it.
 //
-// It also reads the ids of the events, which rise by one. Events that were there already
-// are left out, and a gap is an error. Events without ids are passed on as they are while
-// none has had one.
+// It also checks the event ids, which rise by one: events that were passed on before
+// are dropped, and a gap is an error. Events without ids are passed on unchecked as long
+// as no event of the stream had an id.
 //
-//	[begun] --Continue--> [at the seam] --event after the last--> [begun]
-//	                            \--any other event--> ErrNotTheRest
+//	[reading] --BeginContinuation--> [awaiting continuation] --event lastID+1--> [reading]
+//	                                             \--any other event--> ErrNotContinuation
+//
+// The zero value is ready for use. A Splitter is not safe for concurrent use.
 type Splitter struct {
+	// buffer holds the bytes of an incomplete event.
 	buffer []byte
+	// lastID is the id of the last accepted event; hasID is set if there is one.
 	lastID int
 	hasID  bool
-	// seam says that a continuation has begun, of which no event has come yet.
+	// awaitingContinuation is set from the start of a continuation until its first
+	// event.
 	awaitingContinuation bool
 }
 
-// eventEnd ends an event.
+// eventTerminator ends an event.
 var eventTerminator = []byte("\n\n")
 
-// maxEventBytes bounds one event.
+// maxEventBytes is the maximum size of an incomplete event.
 const maxEventBytes = 256 << 10
 
 // Errors of a stream.
 var (
-	// ErrEventTooLong says that an event is larger than any may be.
+	// ErrEventTooLong means that an event exceeds the maximum size.
 	ErrEventTooLong = errors.New("stream: an event is too long")
-	// ErrEventGap says that events are missing.
+	// ErrEventGap means that an event id is higher than the next expected one.
 	ErrEventGap = errors.New("stream: events are missing")
-	// ErrNoEventID says that an event has no id though those before it had.
+	// ErrNoEventID means that an event has no id although an earlier one had.
 	ErrNoEventID = errors.New("stream: an event has no id")
-	// ErrNotTheRest says that a continuation doesn't go on after the last event: another
-	// generation has begun, whose events must not be joined to those of the first.
+	// ErrNotContinuation means that the first event of a continuation doesn't follow
+	// the last event. It belongs to another generation, whose events must not be
+	// joined to those of the first.
 	ErrNotContinuation = errors.New("stream: not the rest")
 )
 
-// Feed takes bytes as they come and returns the events that are now whole and
-// new, as one run of bytes, and their number. The bytes are valid until the next
-// call.
+// Feed adds received bytes. It returns the concatenated events that are complete
+// and new, and their number. The bytes are valid until the next call. If err is
+// not nil, the events before the fault are returned with it.
 func (s *Splitter) Feed(data []byte) (events []byte, count int, err error) {
 	s.buffer = append(s.buffer, data...)
 	for {
@@ -70,6 +76,8 @@
 	return events, count, nil
 }
 
+// accept checks the id of a complete event. It returns false if the event was passed
+// on before.
 func (s *Splitter) accept(event []byte) (isNew bool, err error) {
 	id, ok := eventID(event)
 	if !ok && s.hasID {
@@ -93,35 +101,40 @@
 	return true, nil
 }
 
-// ResumeAfter says that the caller has all events up to one already, so that what comes is
-// a continuation.
+// ResumeAfter begins a continuation of a stream of which the caller has received all
+// events up to id.
 func (s *Splitter) ResumeAfter(id int) {
 	s.lastID = id
 	s.hasID = true
 	s.BeginContinuation()
 }
 
-// Continue says that what comes now is the continuation of the stream from elsewhere: half
-// an event of before is forgotten, and the first event must be the one after the last.
+// BeginContinuation makes the following bytes a continuation of the stream from another
+// source. It discards an incomplete event; if the events have ids, the next event must
+// be the one after the last.
 func (s *Splitter) BeginContinuation() {
 	s.DiscardPartial()
 	s.awaitingContinuation = s.hasID
 }
 
-// AtSeam reports whether a continuation has begun of which no event has come yet.
+// AwaitingContinuation reports whether a continuation with event ids has begun and none
+// of its events has been received.
 func (s *Splitter) AwaitingContinuation() bool { return s.awaitingContinuation }
 
-// Reset forgets an event that has begun, since the stream goes on elsewhere.
+// DiscardPartial discards an incomplete event, for a stream that another source
+// continues.
 func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
-// Partial reports whether an event has begun and not ended.
+// HasPartial reports whether an incomplete event has been received.
 func (s *Splitter) HasPartial() bool { return len(bytes.TrimSpace(s.buffer)) > 0 }
 
-// LastID returns the id of the last whole event, if one had an id.
+// LastID returns the id of the last accepted event. It returns false if no event had
+// an id.
 func (s *Splitter) LastID() (int, bool) { return s.lastID, s.hasID }
 
 var idField = []byte("id:")
 
+// eventID returns the numeric id of an event. It returns false if there is none.
 func eventID(event []byte) (int, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, idField)
--- a/pkg/stream/events_test.go
+++ b/pkg/stream/events_test.go
@@ -13,8 +13,8 @@
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: %d\n\n", n, n) }
 
-// TestSplitterPassesWholeEventsOnce: however the bytes are cut, and wherever a
-// stream is taken up again, each event comes out once, whole and in order.
+// Each event must be returned once, complete and in order, wherever the bytes are
+// split and wherever the stream is resumed after it broke.
 func TestSplitterDeliversEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
@@ -44,10 +44,10 @@
 		lastID, _ := s.LastID()
 		feed(eventsFrom(max(lastID+1-rapid.IntRange(0, 2).Draw(t, "overlap"), 1)))
 		if s.HasPartial() {
-			t.Fatal("something is left")
+			t.Fatal("an incomplete event remains")
 		}
 		if delivered.String() != allEvents {
-			t.Fatalf("%q is not %q", delivered.String(), allEvents)
+			t.Fatalf("delivered %q, want %q", delivered.String(), allEvents)
 		}
 	})
 }
@@ -65,8 +65,8 @@
 	g.Expect(err).To(MatchError(stream.ErrEventTooLong))
 }
 
-// TestAContinuationBeginsAfterTheLastEvent: whatever else comes after a continuation has
-// begun is of another generation, or of none.
+// A continuation that starts with any event but the one after the last is of another
+// generation and must be rejected.
 func TestContinuationStartsAfterLastEvent(t *testing.T) {
 	g := NewWithT(t)
 	for _, firstID := range []int{0, 1, 2, 4, 5} {
@@ -89,8 +89,8 @@
 	g.Expect(s.AwaitingContinuation()).To(BeFalse())
 }
 
-// TestIDsDoNotEnd: an event without an id can't be placed among those with ids; a stream
-// that has none is passed on as it is.
+// An event without an id after events with ids must be rejected, since its position is
+// unknown. A stream without any ids is passed on unchecked.
 func TestEventWithoutIDAfterIDs(t *testing.T) {
 	g := NewWithT(t)
 	var s stream.Splitter
--- a/pkg/stream/stream.go
+++ b/pkg/stream/stream.go
@@ -1,19 +1,18 @@
-// Package stream ties what a caller receives to one generation.
+// Package stream ensures that a caller receives each token once, in order and from
+// a single generation.
 //
 // A generation is identified by its endpoint, the endpoint's incarnation and
-// the id that the engine gave it. An Assembler delivers the tokens of one
-// generation in order, each once. After a stalled link the daemon resumes the
-// same generation from Next; a chunk that came before is a duplicate, one that
-// comes too early is a gap, and one of any other generation is foreign: none
-// of them is delivered.
+// the id that the engine gave it. An Assembler binds a request to the generation
+// of its first chunk and delivers the chunks of this generation in order. After a
+// stalled link the entry resumes the same generation from Next. A chunk that was
+// delivered before is a duplicate, one that arrives too early is a gap, and one of
+// any other generation is foreign; none of them is delivered. For streams of
+// server-sent events see Splitter.
 //
 //	         Accept(first chunk)            Accept(final chunk)
 //	[unbound] ---------------> [bound] ----------------------> [ended]
 //	    ^                         |
-//	    +---- Reset, only if nothing was released to the caller
-//
-// (Brief: "Every token a caller receives is delivered once, in order, and from
-// one single generation".)
+//	    +---- Reset, only if no token was released to the caller
 package stream
 
 import "github.com/bridgehoist/bridgehoist/pkg/invariant"
@@ -25,41 +24,42 @@
 	ID          string
 }
 
-// Chunk is one piece of a generation: one token, or the end.
+// Chunk is a part of a generation: one token, or its end.
 type Chunk struct {
 	Generation Generation
-	// Index counts the tokens of the generation from zero. For the end it is
-	// the number of tokens.
+	// Index is the position of the token in the generation, from zero. At the
+	// end it is the number of tokens.
 	Index int
 	Text  string
-	// Final marks the end; Reason says why.
+	// Final marks the end of the generation, and FinishReason is its cause.
 	Final        bool
 	FinishReason string
 }
 
-// Verdict is what became of a chunk.
+// Verdict is the result of Accept for a chunk.
 type Verdict int
 
 // The verdicts.
 const (
-	// Deliver: give the chunk to the caller.
+	// Deliver means that the chunk is to be passed on to the caller.
 	Deliver Verdict = iota
-	// Duplicate: it was delivered before.
+	// Duplicate means that the chunk was delivered before.
 	Duplicate
-	// Gap: chunks before it are missing; resume from Next.
+	// Gap means that chunks before this one are missing; resume from Next.
 	Gap
-	// Foreign: it belongs to another generation.
+	// Foreign means that the chunk belongs to another generation.
 	Foreign
-	// AfterEnd: the generation has ended.
+	// AfterEnd means that the generation has already ended.
 	AfterEnd
 )
 
-// String names the verdict for metrics.
+// String returns the name of the verdict in metrics.
 func (v Verdict) String() string {
 	return [...]string{"deliver", "duplicate", "gap", "foreign", "after_end"}[v]
 }
 
-// Assembler follows one request. It is not safe for concurrent use.
+// Assembler checks the chunks of one request. The zero value is unbound. An Assembler
+// is not safe for concurrent use.
 type Assembler struct {
 	bound      bool
 	generation Generation
@@ -68,7 +68,8 @@
 	released   int
 }
 
-// Accept decides about a chunk.
+// Accept returns the verdict on a received chunk. It binds an unbound request to the
+// generation of a chunk that it delivers.
 func (a *Assembler) Accept(c Chunk) Verdict {
 	if a.bound && c.Generation != a.generation {
 		return Foreign
@@ -92,27 +93,28 @@
 	return Deliver
 }
 
-// Release records that the caller has been sent the token with this index.
+// Release records that the token with this index was sent to the caller.
 func (a *Assembler) Release(gen Generation, index int) {
 	invariant.Check(gen == a.generation, invariant.OneGeneration, "token of %v released into %v", gen, a.generation)
 	invariant.Check(index == a.released, invariant.OneGeneration, "token %d released, want %d", index, a.released)
 	a.released++
 }
 
-// Generation returns the generation that the request is bound to.
+// Generation returns the generation that the request is bound to. It returns false
+// if the request is unbound.
 func (a *Assembler) Generation() (Generation, bool) { return a.generation, a.bound }
 
-// Next is the index to resume from.
+// Next returns the index of the next chunk, from which to resume.
 func (a *Assembler) Next() int { return a.nextIndex }
 
-// Released counts the tokens that the caller has been sent.
+// Released returns the number of tokens that were sent to the caller.
 func (a *Assembler) Released() int { return a.released }
 
-// Ended reports whether the whole answer is here.
+// Ended reports whether the final chunk was accepted.
 func (a *Assembler) Ended() bool { return a.ended }
 
 // Reset unbinds the request so that another generation may serve it. It
-// returns false, and changes nothing, if the caller has received a token.
+// returns false, and changes nothing, if a token was sent to the caller.
 func (a *Assembler) Reset() bool {
 	if a.released > 0 {
 		return false
--- a/pkg/stream/stream_test.go
+++ b/pkg/stream/stream_test.go
@@ -13,8 +13,8 @@
 
 func init() { fixedseed.Set() }
 
-// TestOneGeneration feeds an assembler chunks of several generations, late,
-// doubled, missing and out of order, with resets in between.
+// TestOneGeneration feeds an assembler random chunks of several generations, among
+// them delayed, duplicated, missing and reordered ones, with resets in between.
 func TestOneGeneration(t *testing.T) {
 	defer invariant.Strict()()
 	rapid.Check(t, func(t *rapid.T) {
@@ -24,7 +24,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "chunks") {
 			if rapid.IntRange(0, 9).Draw(t, "reset") == 0 {
 				if a.Reset() != (released == "") {
-					t.Fatal("a reset after a token was released, or none before")
+					t.Fatal("Reset succeeded after a token was released, or failed before")
 				}
 			}
 			c := drawChunk(t, length)
@@ -32,7 +32,7 @@
 			gen, bound := a.Generation()
 			verdict := a.Accept(c)
 			if bound && c.Generation != gen && verdict != stream.Foreign {
-				t.Fatalf("chunk of %v was %v in %v", c.Generation, verdict, gen)
+				t.Fatalf("verdict on chunk of %v is %v, bound to %v", c.Generation, verdict, gen)
 			}
 			if verdict == stream.Deliver && c.Index != next {
 				t.Fatalf("delivered %d, want %d", c.Index, next)
