--- a/pkg/readiness/readiness.go
+++ b/pkg/readiness/readiness.go
@@ -2,25 +2,26 @@
 //
 // # Design
 //
-// An entry serves whatever reaches it, ready or not; readiness only tells the balancer
-// where new connections had better go. So an entry calls itself unready while
-// another one can be expected to do better:
+// An entry serves every request that it receives, ready or not; readiness only directs
+// the load balancer's new connections. An entry is therefore unready while other
+// entries are likely to serve better:
 //
-//	[starting] --caught up, with a table--> [ready] --stop--> [stopping]
-//	                                          |  ^
-//	      a target can't be served, and no    |  |  the target can be served, or
-//	      other data centre can be reached    v  |  another data centre answers
-//	                                        [stranded]
+//	[starting] --caught up, config loaded--> [ready] --stop--> [stopping]
+//	                                           |  ^
+//	      a target can't be served, and no     |  |  the target can be served, or
+//	      other data centre can be reached     v  |  another data centre is reachable
+//	                                         [stranded]
 //
-// The load that stranded answers: a data centre is cut off that holds no endpoint of
-// some target. Its entries can refuse these requests at once, and no more; the callers
-// reach the other data centres, where the endpoints are. While everything can be
-// served the entry stays ready, since a data centre that is cut off is to serve what it
-// can. Nor is a target that fails everywhere a reason: then no entry does better, and
-// the other data centres still answer.
+// The stranded state covers a network partition that isolates a data centre without
+// endpoints of some target. Its entries can only refuse requests for that target, while
+// callers still reach the other data centres, where the endpoints are. An isolated
+// entry that can serve all targets stays ready, since an isolated data centre should
+// serve what it can. A target that fails in all data centres doesn't make an entry
+// unready either: no other entry would serve it, and the other data centres are
+// still reachable.
 package readiness
 
-// State is what an entry is to the balancer.
+// State is the readiness of an entry for new connections.
 type State int
 
 // The states.
@@ -31,26 +32,27 @@
 	Stopping
 )
 
-// String names the state for logs.
+// String returns the name of the state in logs and readiness responses.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "stranded", "stopping"}[s]
 }
 
-// Beliefs is what an entry knows of itself.
+// Conditions is the observed state of an entry that determines its readiness.
 type Conditions struct {
-	// CaughtUp says that the store or the peers have answered since the start.
+	// CaughtUp is set if the store or the peers have answered since the start.
 	CaughtUp bool
-	// HasValues says that a table and a list of endpoints are in force.
+	// ConfigLoaded is set if a table and a list of endpoints are in force.
 	ConfigLoaded bool
-	// Stopping says that the process is being stopped.
+	// Stopping is set if the process is being stopped.
 	Stopping bool
-	// Unservable are the targets that have endpoints, none of which is in reach.
+	// UnservableTargets holds the targets that have endpoints, none of which is
+	// reachable.
 	UnservableTargets []string
-	// CutOff says that no endpoint of any other data centre can be reached.
+	// Isolated is set if no endpoint of any other data centre is reachable.
 	Isolated bool
 }
 
-// Decide gives the state of an entry.
+// Decide returns the state of an entry under the given conditions.
 func Decide(c Conditions) State {
 	switch {
 	case c.Stopping:
--- a/pkg/readiness/readiness_test.go
+++ b/pkg/readiness/readiness_test.go
@@ -20,13 +20,13 @@
 		b    readiness.Conditions
 		want readiness.State
 	}{
-		{"nothing known", readiness.Conditions{}, readiness.Starting},
+		{"nothing loaded", readiness.Conditions{}, readiness.Starting},
 		{"no table", readiness.Conditions{CaughtUp: true}, readiness.Starting},
-		{"all well", ready, readiness.Ready},
-		{"cut off, but all is served", readyExcept(func(b *readiness.Conditions) { b.Isolated = true }), readiness.Ready},
-		{"a target fails everywhere", readyExcept(func(b *readiness.Conditions) { b.UnservableTargets = []string{"desk"} }), readiness.Ready},
-		{"others could serve it", readyExcept(func(b *readiness.Conditions) { b.Isolated, b.UnservableTargets = true, []string{"desk"} }), readiness.Stranded},
-		{"stops", readyExcept(func(b *readiness.Conditions) {
+		{"config loaded", ready, readiness.Ready},
+		{"isolated, all targets served", readyExcept(func(b *readiness.Conditions) { b.Isolated = true }), readiness.Ready},
+		{"target fails in all data centres", readyExcept(func(b *readiness.Conditions) { b.UnservableTargets = []string{"desk"} }), readiness.Ready},
+		{"isolated, target served elsewhere", readyExcept(func(b *readiness.Conditions) { b.Isolated, b.UnservableTargets = true, []string{"desk"} }), readiness.Stranded},
+		{"stopping", readyExcept(func(b *readiness.Conditions) {
 			b.Stopping, b.Isolated, b.UnservableTargets = true, true, []string{"desk"}
 		}), readiness.Stopping},
 	} {
