--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -1,8 +1,7 @@
-// Package invariant checks, inside the running program, what must always hold.
+// Package invariant checks the invariants of the system at run time.
 //
-// A violation is counted by name and handed to the hook: daemons log it,
-// tests panic. Checks are cheap enough to stay on in production. (Brief, "How
-// we want it proved".)
+// A violation is counted by name and passed to a hook: daemons log it, tests
+// panic. Checks are cheap enough to be enabled in production.
 package invariant
 
 import (
@@ -16,30 +15,31 @@
 
 // The invariants.
 const (
-	// OneGeneration: a caller gets tokens of a single generation, in order, once.
+	// OneGeneration: a caller receives the tokens of a single generation, in order
+	// and each once.
 	OneGeneration Name = "one_generation"
-	// OwnAnswer: a reply belongs to the request and attempt that asked for it.
+	// OwnAnswer: a reply belongs to the request and attempt that it answers.
 	OwnAnswer Name = "own_answer"
-	// NotRunProof: a request reported as not run had no dispatch open.
+	// NotRunProof: a request reported as not run has no dispatch in flight.
 	NotRunProof Name = "not_run_proof"
 	// AtMostOnce: a non-idempotent request is dispatched at most once.
 	AtMostOnce Name = "at_most_once"
-	// NoNewWorkOnLeaving: no dispatch to an endpoint known to be leaving.
+	// NoNewWorkOnLeaving: no request is dispatched to an endpoint known to be leaving.
 	NoNewWorkOnLeaving Name = "no_new_work_on_leaving"
-	// DrainCutsNothing: a planned stop ends no request early.
+	// DrainCutsNothing: a planned stop terminates no request early.
 	DrainCutsNothing Name = "drain_cuts_nothing"
-	// RevisionMonotone: a revision in force never goes backwards.
+	// RevisionMonotone: the revision in force never decreases.
 	RevisionMonotone Name = "revision_monotone"
-	// OneFinal: a request gets exactly one final outcome.
+	// OneFinal: a request has exactly one final outcome.
 	OneFinal Name = "one_final"
 )
 
-// Names lists all invariants, for metrics that start at zero.
+// Names returns all invariants, so that a metric can be initialized to zero for each.
 func Names() []Name {
 	return []Name{OneGeneration, OwnAnswer, NotRunProof, AtMostOnce, NoNewWorkOnLeaving, DrainCutsNothing, RevisionMonotone, OneFinal}
 }
 
-// Hook receives every violation.
+// Hook is called for every violation.
 type Hook func(name Name, detail string)
 
 var (
@@ -48,7 +48,7 @@
 	counts = map[Name]uint64{}
 )
 
-// SetHook replaces the hook; nil only counts.
+// SetHook replaces the hook. With nil, violations are only counted.
 func SetHook(h Hook) {
 	if h == nil {
 		hook.Store(nil)
@@ -57,8 +57,8 @@
 	hook.Store(&h)
 }
 
-// Strict stops the program at the first violation; tests use it. It returns a
-// function that restores the former hook.
+// Strict sets a hook that panics at a violation, for tests. It returns a function
+// that restores the previous hook.
 func Strict() (restore func()) {
 	strict := Hook(func(name Name, detail string) {
 		panic(fmt.Sprintf("invariant %s violated: %s", name, detail))
@@ -67,7 +67,8 @@
 	return func() { hook.Store(previous) }
 }
 
-// Check reports a violation if ok is false, and returns ok.
+// Check records a violation if ok is false, and returns ok. The format and args
+// describe the violation.
 func Check(ok bool, name Name, format string, args ...any) bool {
 	if ok {
 		return true
@@ -81,7 +82,7 @@
 	return false
 }
 
-// Count returns the violations of one invariant since the start.
+// Count returns the number of violations of an invariant since the process started.
 func Count(name Name) uint64 {
 	mu.Lock()
 	defer mu.Unlock()
