--- a/pkg/fencing/fencing.go
+++ b/pkg/fencing/fencing.go
@@ -1,25 +1,29 @@
-// Package fencing decides which controller gives orders to engines, and which.
+// Package fencing selects the controller that gives orders to the engines of a
+// data centre and computes these orders. An order sets the models that an engine
+// should have loaded.
 //
 // # Design
 //
-// There is no election. Every controller computes from the published fleet
-// list who gives the orders of a data centre: one of its live entry VMs, by
-// rendezvous hashing. The fencing number of an order is the revision of the
-// list that it was computed from, with the era of the store above it, so that numbers rise
-// also when the store is restored and its revisions go back. Controllers that see the same revision agree
-// on the orderer and on the orders; one that wakes late believes in an older
-// revision, so its number is lower, and an engine that checks numbers refuses
-// it once it has seen a newer one.
+// There is no leader election. Every controller computes the orderer of a data
+// centre from the published fleet list: one of its live entry VMs, by rendezvous
+// hashing. The fencing number (fencing token) of an order is the revision of the
+// list that it was computed from. The era of the store is its most significant
+// part, so that numbers rise even if a restored store goes back to earlier
+// revisions. Controllers with the same revision agree on the orderer and on the
+// orders. A controller that resumes after a pause has an older revision and thus
+// a lower number, which an engine that checks numbers rejects once it has
+// accepted a newer one.
 //
 // Engines that ignore the number are protected as far as possible: an order
-// states the desired end state, so a repeat is harmless; the daemon refreshes
-// its belief right before sending; and the orderer reconciles what it observes
-// with what is desired. What stays is a window: a controller that pauses
-// between the refresh and the send can set an engine back to an older desired
-// state until the next reconciliation.
+// states the desired end state, so that repeating it is harmless; the controller
+// refreshes its fleet list right before it sends; and the orderer reconciles the
+// observed state with the desired one. One race remains: a controller that pauses
+// between the refresh and the send can revert an engine to an older desired state
+// until the next reconciliation.
 //
-// Loads of models are spread: at most so many engines of a data centre load at
-// once, because the weight store is rate-limited. The package does no I/O.
+// The number of engines of a data centre that load models at the same time is
+// limited, because the store of the model weights is rate-limited. The package
+// does no I/O.
 package fencing
 
 import (
@@ -32,14 +36,14 @@
 	"github.com/bridgehoist/bridgehoist/pkg/revision"
 )
 
-// Belief is a fleet list and its revision.
+// FleetSnapshot is a fleet list and its revision.
 type FleetSnapshot struct {
 	Revision revision.ID
 	List     *fleet.List
 }
 
-// Orderer returns the VM that gives the orders of a data centre; none if the
-// data centre has no live entry.
+// Orderer returns the ID of the VM whose controller gives the orders of a data
+// centre. It returns false if the data centre has no live entry.
 func Orderer(l *fleet.List, dataCenter string) (vm string, ok bool) {
 	var bestWeight uint64
 	for _, v := range l.Entries() {
@@ -54,25 +58,31 @@
 	return vm, ok
 }
 
-// Observed is what an engine last said of its models.
+// EngineReport is the last reported state of an engine.
 type EngineReport struct {
+	// Endpoint is the id of the engine.
 	Endpoint string
-	// Fencing is the highest number that the engine has taken.
+	// Fencing is the highest fencing number that the engine has accepted.
 	Fencing uint64
+	// Loaded and Loading hold the models that are loaded and being loaded.
 	Loaded  []string
 	Loading []string
 }
 
-// Order is one order to one engine.
+// Order is an order to one engine.
 type Order struct {
 	Endpoint fleet.Endpoint
-	Fencing  uint64
-	Desired  []string
+	// Fencing is the fencing number.
+	Fencing uint64
+	// Desired holds all models that the engine should have loaded.
+	Desired []string
 }
 
-// Plan gives the orders that bring the observed engines to what is desired.
-// Engines that were not observed get none. At most maxLoading engines load at
-// once; unloading is not limited.
+// Plan returns the orders that reconcile the reported state of the engines of a
+// data centre with the desired one. Engines without a report get no order, and
+// neither do engines that have accepted a higher fencing number. At most
+// maxLoading engines load models at the same time; unloading is not limited. Plan
+// sorts reports.
 func Plan(snapshot FleetSnapshot, dataCenter string, reports []EngineReport, maxLoading int) []Order {
 	loading := 0
 	for _, r := range reports {
@@ -103,12 +113,14 @@
 	return orders
 }
 
-// settled reports whether the engine has, or is loading, just what is desired.
+// converged reports whether the models that the engine has loaded or is loading are
+// exactly the desired ones.
 func converged(desired []string, r EngineReport) bool {
 	present := append(slices.Clone(r.Loaded), r.Loading...)
 	return sameSet(desired, present)
 }
 
+// needsLoad reports whether a desired model is neither loaded nor being loaded.
 func needsLoad(desired []string, r EngineReport) bool {
 	for _, m := range desired {
 		if !slices.Contains(r.Loaded, m) && !slices.Contains(r.Loading, m) {
--- a/pkg/fencing/fencing_test.go
+++ b/pkg/fencing/fencing_test.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-// engine is a fake that checks fencing numbers or ignores them.
+// engine is a fake engine that checks fencing numbers or ignores them.
 type engine struct {
 	checksFencing bool
 	fencing       uint64
@@ -43,9 +43,10 @@
 	e.fencing, e.models = o.Fencing, o.Desired
 }
 
-// TestLateOrders races controllers that wake with old beliefs. An engine that
-// checks numbers never goes back once it has a newer order; one that ignores
-// them is right again after one reconciliation.
+// Orders of a controller with a stale fleet list arrive in random order among
+// current ones. An engine that checks fencing numbers must not go back to an older
+// order; one that ignores them must have the current models after one
+// reconciliation.
 func TestStaleOrdersAreCorrected(t *testing.T) {
 	g := NewWithT(t)
 	const seed = 7
@@ -76,9 +77,9 @@
 		}
 		g.Expect(engines["e1"].models).To(Equal([]string{"new"}))
 		g.Expect(fencing.Plan(current, "hall", observe(), 2)).To(BeEmpty())
-		g.Expect(fencing.Plan(stale, "hall", observe(), 2)).To(BeEmpty(), "an old belief orders against a newer number")
+		g.Expect(fencing.Plan(stale, "hall", observe(), 2)).To(BeEmpty(), "a stale fleet list gives orders to an engine with a higher fencing number")
 	}
-	g.Expect(revertedCount).To(BeNumerically(">", 0), "the window was never seen")
+	g.Expect(revertedCount).To(BeNumerically(">", 0), "no engine was ever reverted by a stale order")
 }
 
 func TestConcurrentLoadsAreLimited(t *testing.T) {
@@ -105,7 +106,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Engines refused all orders after a restore, whose numbers were below those before.
+// After a restore of the store, revisions start again from lower ones. Fencing numbers
+// must rise nevertheless, else engines refuse all orders.
 func TestFencingNumberRisesAfterStoreRestore(t *testing.T) {
 	g := NewWithT(t)
 	before, err := revision.New(1, 37)
