--- a/pkg/lengths/lengths.go
+++ b/pkg/lengths/lengths.go
@@ -1,37 +1,40 @@
-// Package lengths learns how long outputs are and projects the memory that
-// running requests will need.
+// Package lengths estimates output lengths and projects the memory that running
+// requests need.
 //
 // # Design
 //
-// The length of an output is unknown until it ends, so the estimator learns
-// from survival: for each bucket of a logarithmic scale it counts how many
-// requests reached the bucket and how many ended in it. A request that is
-// still running counts as having reached its buckets. When lengths shift
-// upwards the estimate therefore follows while the first long requests run,
-// not only after they have ended. Counts decay with each request that ends,
-// so that old lengths are forgotten.
+// The length of an output is unknown until it ends, so the estimator is a life
+// table: for each bucket of a logarithmic scale it counts the requests that
+// reached the bucket and those that ended in it, which gives a hazard per bucket
+// and the survival function. A running request is a censored observation: it
+// counts in the buckets that it has reached. When outputs become longer, the
+// estimate therefore rises while the first long requests are still running.
+// Counts decay exponentially with each completed request, so that recent lengths
+// weigh most.
 //
-// Estimates of a workspace and kind lean on those of the kind over all
-// workspaces while there are few requests, and these lean on a prior.
+// The estimate for a workspace and kind is shrunk towards that of the kind over
+// all workspaces while there are few requests, and the latter towards a prior.
 //
-// A Profile projects memory: the tokens that a request is expected to hold now
-// and after each of Horizons further steps, counting those that will have
-// ended as zero. The sum of the profiles of an engine's requests, compared
-// with its capacity at each horizon, says whether one more request fits. The
-// sum of final lengths would hold room for requests that never run at the same
-// time; the memory of the moment would not see growth that is sure to come.
+// A Profile projects memory: the expected number of tokens that a request holds
+// now and after each of Horizons further decoding steps, where a request that
+// has ended holds none. The sum of the profiles of an engine's requests,
+// compared with its capacity at each horizon, decides whether one more request
+// fits. Summing final lengths instead would reserve memory for requests that
+// never run at the same time; comparing current memory alone would ignore the
+// growth that is certain to come.
 //
-// The package does no I/O; the caller serialises calls.
+// The package does no I/O. Its types are not safe for concurrent use.
 package lengths
 
 import (
 	"math"
 )
 
-// Horizons are the further decoding steps of a Profile.
+// Horizons are the numbers of further decoding steps for which a Profile has a
+// value.
 var Horizons = [...]float64{0, 64, 256, 1024, 4096}
 
-// Profile holds tokens for each of Horizons.
+// Profile holds one value for each of Horizons, such as a number of tokens.
 type Profile [len(Horizons)]float64
 
 // Add returns the sum of two profiles.
@@ -59,20 +62,24 @@
 	return m
 }
 
-// Projection is what one request is expected to hold, with its variance.
+// Projection is the mean and variance of the tokens that a request, or several,
+// will hold.
 type Projection struct {
-	Mean     Profile
+	// Mean is the expected number of tokens.
+	Mean Profile
+	// Variance is the variance, in tokens squared.
 	Variance Profile
 }
 
-// Bound returns the projection of a request whose output is bounded: beyond the
-// bound it holds nothing. A bound of zero is none.
-func (p Projection) Bound(generated, most int) Projection {
-	if most <= 0 {
+// Bound limits the output of a request that has produced generated tokens to
+// maxOutput tokens: at horizons beyond the limit the request holds no memory. A
+// maxOutput of zero or less is no limit.
+func (p Projection) Bound(generated, maxOutput int) Projection {
+	if maxOutput <= 0 {
 		return p
 	}
 	for i, h := range Horizons {
-		if i > 0 && float64(generated)+h > float64(most) {
+		if i > 0 && float64(generated)+h > float64(maxOutput) {
 			p.Mean[i], p.Variance[i] = 0, 0
 		}
 	}
@@ -80,46 +87,54 @@
 }
 
 const (
-	// bucketRatio is the ratio of neighbouring bucket bounds.
+	// bucketRatio is the ratio of the bounds of adjacent buckets.
 	bucketRatio = 1.3
-	// buckets cover outputs up to about 100,000 tokens.
-	buckets = 44
-	// memory is the number of ended requests after which counts have decayed
-	// to about a third.
-	memory = 150
-	// lean is how many requests the estimate of a kind counts for in that of a
-	// workspace, and leanPrior how many the prior counts for in that of a kind.
-	lean      = 4
-	leanPrior = 1
-	// PriorHazard is the share of outputs that end in each bucket from priorFrom
-	// tokens on, as assumed while nothing is known. From 0.231 on the expected
-	// length is finite. Before priorFrom few are assumed to end.
-	PriorHazard      = 0.25
-	priorFrom        = 64
-	priorHazardBelow = 0.03
-	// maxChanges to a settled group, one with so many requests, go by before its
-	// survival is computed anew.
-	maxChanges = 16
-	settled    = 32
-	// rescaleAt keeps the growing weights of forward decay within range.
-	rescaleAt = 1e9
+	// numBuckets covers outputs of up to about 100,000 tokens.
+	numBuckets = 44
+	// decayRequests is the number of completed requests after which counts have
+	// decayed to about a third.
+	decayRequests = 150
+	// parentWeight is the number of requests that the estimate of a kind counts
+	// for in that of a workspace and kind; priorWeight is the number that the
+	// prior counts for in the estimate of a kind.
+	parentWeight = 4
+	priorWeight  = 1
+	// PriorHazard is the prior share of outputs that end in each bucket from
+	// priorHazardMinTokens on. The expected length is finite from 0.231 on, where
+	// survival falls faster than bucketRatio widens the buckets. In buckets below
+	// priorHazardMinTokens, where few outputs are assumed to end, the prior is
+	// shortOutputPriorHazard.
+	PriorHazard            = 0.25
+	priorHazardMinTokens   = 64
+	shortOutputPriorHazard = 0.03
+	// A group with more than cacheMinRequests requests caches its survival function
+	// and recomputes it only after maxStaleChanges changes.
+	maxStaleChanges  = 16
+	cacheMinRequests = 32
+	// maxDecayWeight is the weight at which counts are rescaled. Forward decay
+	// increases the weight with each completed request, so that it would overflow.
+	maxDecayWeight = 1e9
 )
 
-var bounds = makeBounds()
+var bucketBounds = makeBucketBounds()
 
-func makeBounds() [buckets + 1]float64 {
-	var b [buckets + 1]float64
-	for i := 1; i <= buckets; i++ {
+// makeBucketBounds returns the lower bounds of all buckets in tokens, followed by
+// the upper bound of the last.
+func makeBucketBounds() [numBuckets + 1]float64 {
+	var b [numBuckets + 1]float64
+	for i := 1; i <= numBuckets; i++ {
 		b[i] = math.Max(b[i-1]+1, math.Pow(bucketRatio, float64(i)))
 	}
 	return b
 }
 
-func bucketOf(tokens int) int {
-	lo, hi := 0, buckets-1
+// bucketIndex returns the bucket of an output length; the last bucket takes all
+// longer ones.
+func bucketIndex(tokens int) int {
+	lo, hi := 0, numBuckets-1
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if bounds[mid] <= float64(tokens) {
+		if bucketBounds[mid] <= float64(tokens) {
 			lo = mid
 		} else {
 			hi = mid - 1
@@ -128,35 +143,41 @@
 	return lo
 }
 
-// Key groups requests whose lengths are alike.
+// Key identifies a group of requests with similar output lengths.
 type Key struct{ Workspace, Kind string }
 
-// group counts survival for one key, or for a kind over all workspaces.
+// group is the life table of one key, or of a kind over all workspaces.
 type group struct {
-	parent  *group
-	prior   float64
-	weight  float64
-	reached [buckets]float64
-	ended   [buckets]float64
-	surv    [buckets + 1]float64
-	// changes counts those that surv doesn't show yet.
-	changes int
+	// parent is the group of the kind; nil in that group itself.
+	parent      *group
+	priorHazard float64
+	// weight is what a new observation adds to a count. It grows with each
+	// completed request, which decays older counts in relation to new ones.
+	weight float64
+	// reached and ended are the weighted numbers of requests that reached a bucket
+	// and that ended in it.
+	reached [numBuckets]float64
+	ended   [numBuckets]float64
+	// cachedSurvival is the survival function as of changesSinceCached changes
+	// ago.
+	cachedSurvival     [numBuckets + 1]float64
+	changesSinceCached int
 }
 
-func newGroup(parent *group, prior float64) *group {
-	return &group{parent: parent, prior: prior, weight: 1, changes: maxChanges}
+func newGroup(parent *group, priorHazard float64) *group {
+	return &group{parent: parent, priorHazard: priorHazard, weight: 1, changesSinceCached: maxStaleChanges}
 }
 
-func (g *group) reach(b int) {
+func (g *group) recordReached(b int) {
 	g.reached[b] += g.weight
-	g.changes++
+	g.changesSinceCached++
 }
 
-func (g *group) end(b int) {
+func (g *group) recordEnded(b int) {
 	g.ended[b] += g.weight
-	g.weight *= 1 + 1.0/memory
-	g.changes++
-	if g.weight > rescaleAt {
+	g.weight *= 1 + 1.0/decayRequests
+	g.changesSinceCached++
+	if g.weight > maxDecayWeight {
 		g.rescale()
 	}
 }
@@ -169,65 +190,70 @@
 	g.weight = 1
 }
 
+// hazard returns the probability that an output which reaches the bucket ends in
+// it, shrunk towards the parent's estimate or the prior.
 func (g *group) hazard(b int) float64 {
 	reached := g.reached[b] / g.weight
 	ended := g.ended[b] / g.weight
 	if g.parent == nil {
-		return min((ended+leanPrior*g.priorAt(b))/(reached+leanPrior), 1)
+		return min((ended+priorWeight*g.priorHazardAt(b))/(reached+priorWeight), 1)
 	}
-	return min((ended+lean*g.parent.hazard(b))/(reached+lean), 1)
+	return min((ended+parentWeight*g.parent.hazard(b))/(reached+parentWeight), 1)
 }
 
-func (g *group) priorAt(b int) float64 {
-	if bounds[b] < priorFrom {
-		return priorHazardBelow
+func (g *group) priorHazardAt(b int) float64 {
+	if bucketBounds[b] < priorHazardMinTokens {
+		return shortOutputPriorHazard
 	}
-	return g.prior
+	return g.priorHazard
 }
 
-// survival returns the chance, by bucket bound, that an output is longer.
-func (g *group) survival() *[buckets + 1]float64 {
-	if g.changes == 0 || g.changes < maxChanges && g.reached[0] > settled*g.weight {
-		return &g.surv
+// survival returns the survival function: for each of bucketBounds, the
+// probability that an output is longer.
+func (g *group) survival() *[numBuckets + 1]float64 {
+	if g.changesSinceCached == 0 || g.changesSinceCached < maxStaleChanges && g.reached[0] > cacheMinRequests*g.weight {
+		return &g.cachedSurvival
 	}
-	g.surv[0] = 1
-	for b := range buckets {
-		g.surv[b+1] = g.surv[b] * (1 - g.hazard(b))
+	g.cachedSurvival[0] = 1
+	for b := range numBuckets {
+		g.cachedSurvival[b+1] = g.cachedSurvival[b] * (1 - g.hazard(b))
 	}
-	g.changes = 0
-	return &g.surv
+	g.changesSinceCached = 0
+	return &g.cachedSurvival
 }
 
-// longer gives the chance that an output is longer than tokens, by linear
-// interpolation within a bucket.
-func longer(s *[buckets + 1]float64, tokens float64) float64 {
-	b := bucketOf(int(tokens))
-	if b == buckets-1 && tokens >= bounds[buckets] {
-		return s[buckets]
+// survivalAt returns the probability that an output is longer than tokens, by
+// linear interpolation within a bucket.
+func survivalAt(s *[numBuckets + 1]float64, tokens float64) float64 {
+	b := bucketIndex(int(tokens))
+	if b == numBuckets-1 && tokens >= bucketBounds[numBuckets] {
+		return s[numBuckets]
 	}
-	part := (tokens - bounds[b]) / (bounds[b+1] - bounds[b])
-	return s[b] + part*(s[b+1]-s[b])
+	fraction := (tokens - bucketBounds[b]) / (bucketBounds[b+1] - bucketBounds[b])
+	return s[b] + fraction*(s[b+1]-s[b])
 }
 
-// Estimator learns lengths per key.
+// Estimator estimates output lengths per key from observed requests.
 type Estimator struct {
-	kinds map[string]*group
-	keys  map[Key]*group
-	prior float64
+	kinds       map[string]*group
+	keys        map[Key]*group
+	priorHazard float64
 }
 
-// MaxKeys bounds the keys kept apart; further ones share their kind's group.
+// MaxKeys limits the number of keys with a group of their own. Further keys use
+// the group of their kind.
 const MaxKeys = 4096
 
-// New makes an estimator that knows only the prior.
+// New returns an estimator without observations. It assumes that priorHazard is
+// the share of outputs that end in each bucket; see PriorHazard.
 func New(priorHazard float64) *Estimator {
-	return &Estimator{kinds: map[string]*group{}, keys: map[Key]*group{}, prior: priorHazard}
+	return &Estimator{kinds: map[string]*group{}, keys: map[Key]*group{}, priorHazard: priorHazard}
 }
 
 func (e *Estimator) kind(name string) *group {
 	g := e.kinds[name]
 	if g == nil {
-		g = newGroup(nil, e.prior)
+		g = newGroup(nil, e.priorHazard)
 		e.kinds[name] = g
 	}
 	return g
@@ -241,87 +267,91 @@
 	if len(e.keys) >= MaxKeys {
 		return kind
 	}
-	g := newGroup(kind, e.prior)
+	g := newGroup(kind, e.priorHazard)
 	e.keys[k] = g
 	return g
 }
 
-// Run follows one request. The zero value is not usable; see Start.
-type Run struct {
-	group  *group
+// Tracker records the progress of one request. Use Start to make one; the zero
+// value is not usable.
+type Tracker struct {
+	group *group
+	// bucket is the last bucket that the request has reached.
 	bucket int
 }
 
-// Start counts a request that begins to decode.
-func (e *Estimator) Start(k Key) Run {
-	r := Run{group: e.group(k)}
-	r.reach(0)
+// Start records that a request begins to decode.
+func (e *Estimator) Start(k Key) Tracker {
+	r := Tracker{group: e.group(k)}
+	r.recordReached(0)
 	return r
 }
 
-func (r *Run) reach(b int) {
-	r.group.reach(b)
+func (r *Tracker) recordReached(b int) {
+	r.group.recordReached(b)
 	if r.group.parent != nil {
-		r.group.parent.reach(b)
+		r.group.parent.recordReached(b)
 	}
 }
 
-// Advance counts the buckets that a request has newly reached, and reports
-// whether there were any.
-func (r *Run) Advance(generated int) bool {
-	b := bucketOf(generated)
+// Advance records that the request has produced generated tokens in total. It
+// reports whether the request has reached a new bucket.
+func (r *Tracker) Advance(generated int) bool {
+	b := bucketIndex(generated)
 	if b <= r.bucket {
 		return false
 	}
 	for i := r.bucket + 1; i <= b; i++ {
-		r.reach(i)
+		r.recordReached(i)
 	}
 	r.bucket = b
 	return true
 }
 
-// End counts a request whose output was complete with this many tokens. A
-// request that was cut short must not be counted.
-func (r *Run) End(length int) {
+// End records an output that is complete with length tokens. It must not be
+// called for an output that was cut short, whose full length is unknown.
+func (r *Tracker) End(length int) {
 	r.Advance(length)
-	r.group.end(r.bucket)
+	r.group.recordEnded(r.bucket)
 	if r.group.parent != nil {
-		r.group.parent.end(r.bucket)
+		r.group.parent.recordEnded(r.bucket)
 	}
 }
 
-// Project gives the memory that a request is expected to hold.
+// Project returns the projected memory of a request whose prompt has prompt tokens
+// and which has produced generated output tokens.
 func (e *Estimator) Project(k Key, prompt, generated int) Projection {
 	return project(e.group(k), prompt, generated)
 }
 
-// Project gives the memory that a running request is expected to hold.
-func (r *Run) Project(prompt, generated int) Projection {
+// Project returns the projected memory of the tracked request.
+func (r *Tracker) Project(prompt, generated int) Projection {
 	return project(r.group, prompt, generated)
 }
 
 func project(g *group, prompt, generated int) Projection {
 	s := g.survival()
-	now := max(longer(s, float64(generated)), 1e-9)
-	var out Projection
+	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	var projection Projection
 	for i, h := range Horizons {
-		alive := min(longer(s, float64(generated)+h)/now, 1)
-		held := float64(prompt+generated) + h
-		out.Mean[i] = alive * held
-		out.Variance[i] = alive * (1 - alive) * held * held
+		running := min(survivalAt(s, float64(generated)+h)/reachedNow, 1)
+		tokens := float64(prompt+generated) + h
+		projection.Mean[i] = running * tokens
+		projection.Variance[i] = running * (1 - running) * tokens * tokens
 	}
-	return out
+	return projection
 }
 
-// Remaining gives the expected number of tokens still to come.
+// Remaining returns the expected number of further output tokens of a request that
+// has produced generated tokens.
 func (e *Estimator) Remaining(k Key, generated int) float64 {
 	s := e.group(k).survival()
-	now := max(longer(s, float64(generated)), 1e-9)
-	b := bucketOf(generated)
-	first := (bounds[b+1] - float64(generated)) * (now + s[b+1]) / 2
-	sum := first
-	for i := b + 1; i < buckets; i++ {
-		sum += (bounds[i+1] - bounds[i]) * (s[i] + s[i+1]) / 2
+	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	b := bucketIndex(generated)
+	currentBucket := (bucketBounds[b+1] - float64(generated)) * (reachedNow + s[b+1]) / 2
+	sum := currentBucket
+	for i := b + 1; i < numBuckets; i++ {
+		sum += (bucketBounds[i+1] - bucketBounds[i]) * (s[i] + s[i+1]) / 2
 	}
-	return sum / now
+	return sum / reachedNow
 }
--- a/pkg/lengths/lengths_test.go
+++ b/pkg/lengths/lengths_test.go
@@ -10,7 +10,7 @@
 	"github.com/bridgehoist/bridgehoist/pkg/lengths"
 )
 
-func TestLearnsTheMean(t *testing.T) {
+func TestEstimatesMeanLength(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	e := lengths.New(lengths.PriorHazard)
@@ -27,9 +27,9 @@
 	g.Expect(e.Remaining(k, 400)).To(BeNumerically("<", 300))
 }
 
-// TestFollowsAShiftBeforeItEnds: long requests that still run raise the
-// estimate for new ones.
-func TestFollowsAShiftBeforeItEnds(t *testing.T) {
+// Running requests that are longer than earlier ones must raise the estimate
+// before any of them has ended.
+func TestRunningRequestsRaiseEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	k := lengths.Key{Workspace: "w", Kind: "k"}
@@ -45,8 +45,9 @@
 	g.Expect(e.Remaining(k, 0)).To(BeNumerically(">", 2*before))
 }
 
-// TestANewWorkspaceLeansOnItsKind: no request of the workspace is needed.
-func TestANewWorkspaceLeansOnItsKind(t *testing.T) {
+// A workspace without requests must use the estimate of its kind in other
+// workspaces.
+func TestNewWorkspaceUsesKindEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	for range 200 {
@@ -73,9 +74,9 @@
 	}
 }
 
-// TestANewKindIsNotTakenForShort: memory must be kept for what nothing is known
-// of.
-func TestANewKindIsNotTakenForShort(t *testing.T) {
+// An unknown kind must not be assumed to have short outputs, else too little
+// memory is reserved for it.
+func TestUnknownKindIsNotAssumedShort(t *testing.T) {
 	g := NewWithT(t)
 	e := lengths.New(lengths.PriorHazard)
 	expected := e.Remaining(lengths.Key{Workspace: "w", Kind: "new"}, 0)
