--- a/internal/experiment/policies/policies.go
+++ b/internal/experiment/policies/policies.go
@@ -64,7 +64,7 @@
 // Mix is a version without some of its mechanisms.
 func Mix(name, version string, off ...scheduler.Mechanism) Policy {
 	about := fmt.Sprintf("%s without %v", version, off)
-	return Policy{name, about, configured(scheduler.Version(version).Without(off...))}
+	return Policy{name, about, configured(scheduler.Version(version).Disable(off...))}
 }
 
 // Find looks a policy up among the baselines, versions and ablations.
--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -100,7 +100,7 @@
 // keepApart tells the scheduler which requests are to be kept apart.
 func (b *Beliefs) keepApart() {
 	requests := b.guard.KeptApart()
-	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetKeptApart(requests) })
+	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetIsolatedRequests(requests) })
 }
 
 // Guard holds what the entries know of requests that crash what runs them.
@@ -298,7 +298,7 @@
 	self := b.view.Self()
 	b.guard.SetPlace(placeAmong(self.GetVm(), members, isAlive))
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
-		s.SetPlace(placeAmong(self.GetVm(), members, mayServe))
+		s.SetEntryRank(placeAmong(self.GetVm(), members, mayServe))
 		s.Backpressure().SetPlace(backpressurePlace(self, members))
 	})
 	for vm := range b.counted {
--- a/pkg/scheduler/baseline.go
+++ b/pkg/scheduler/baseline.go
@@ -8,10 +8,12 @@
 	"github.com/bridgehoist/bridgehoist/pkg/outcome"
 )
 
-// Baseline sends every request on at once and lets the engines queue. It is
-// kept to measure Scheduler against: round robin, or fewest in flight.
+// Baseline dispatches every request at once, round robin or to the endpoint with the fewest
+// requests in flight, and leaves queueing to the engines. Experiments compare Scheduler
+// against it.
 type Baseline struct {
-	// LeastInFlight chooses the endpoint with the fewest own requests.
+	// LeastInFlight chooses the endpoint with the fewest requests of this entry in
+	// flight, instead of round robin.
 	LeastInFlight bool
 
 	endpoints []fleet.Endpoint
@@ -19,21 +21,21 @@
 	inFlight  map[string]int
 	running   map[ID]string
 	waiting   []Request
-	turn      int
+	nextIndex int
 }
 
 var _ Policy = (*Baseline)(nil)
 
-// NewRoundRobin makes the baseline that takes endpoints in turn.
+// NewRoundRobin returns a round-robin baseline.
 func NewRoundRobin() *Baseline { return newBaseline(false) }
 
-// NewLeastInFlight makes the baseline that takes the endpoint with the fewest
-// requests of this entry.
+// NewLeastInFlight returns a baseline that chooses the endpoint with the fewest requests of
+// this entry in flight.
 func NewLeastInFlight() *Baseline { return newBaseline(true) }
 
-func newBaseline(least bool) *Baseline {
+func newBaseline(leastInFlight bool) *Baseline {
 	return &Baseline{
-		LeastInFlight: least,
+		LeastInFlight: leastInFlight,
 		leaving:       map[string]bool{},
 		inFlight:      map[string]int{},
 		running:       map[ID]string{},
@@ -65,20 +67,20 @@
 
 // Next implements Policy.
 func (b *Baseline) Next(time.Time) Actions {
-	var out Actions
+	var actions Actions
 	for _, r := range b.waiting {
 		e, ok := b.pick(&r)
 		if !ok {
 			err := outcome.NotRunf(outcome.CodeNoEndpoint, "no endpoint answers for %q", r.Row.Target)
-			out.Refusals = append(out.Refusals, Refusal{r.ID, err.After(time.Second)})
+			actions.Refusals = append(actions.Refusals, Refusal{r.ID, err.After(time.Second)})
 			continue
 		}
 		b.inFlight[e.ID]++
 		b.running[r.ID] = e.ID
-		out.Dispatches = append(out.Dispatches, Dispatch{r.ID, e})
+		actions.Dispatches = append(actions.Dispatches, Dispatch{r.ID, e})
 	}
 	b.waiting = b.waiting[:0]
-	return out
+	return actions
 }
 
 func (b *Baseline) pick(r *Request) (fleet.Endpoint, bool) {
@@ -86,7 +88,7 @@
 	found := false
 	n := len(b.endpoints)
 	for i := range n {
-		e := b.endpoints[(b.turn+i)%n]
+		e := b.endpoints[(b.nextIndex+i)%n]
 		if b.leaving[e.ID] || !slices.Contains(e.Targets, r.Row.Target) || e.ID == r.Avoid {
 			continue
 		}
@@ -95,12 +97,12 @@
 			found = true
 		}
 		if !b.LeastInFlight {
-			b.turn = (b.turn + i + 1) % n
+			b.nextIndex = (b.nextIndex + i + 1) % n
 			return best, true
 		}
 	}
 	if n > 0 {
-		b.turn = (b.turn + 1) % n
+		b.nextIndex = (b.nextIndex + 1) % n
 	}
 	return best, found
 }
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -11,22 +11,22 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
-var row = table.Row{Workspace: "*", Kind: "k", Target: "m", Weight: 10, Priority: 3,
+var defaultRow = table.Row{Workspace: "*", Kind: "k", Target: "m", Weight: 10, Priority: 3,
 	MaxInFlight: 1 << 20, MaxQueued: 1 << 20, MaxQueueTime: time.Minute, Timeout: 2 * time.Minute, Idempotent: true}
 
-// loaded makes a scheduler of one entry of 34 before so many endpoints, each
-// with some work of its own and of its peers.
-func loaded(endpoints int) (*scheduler.Scheduler, time.Time) {
+// newLoadedScheduler returns a scheduler with endpointCount endpoints that all run requests
+// of a peer. The entry is one of three home entries of ten of them.
+func newLoadedScheduler(endpointCount int) (*scheduler.Scheduler, time.Time) {
 	cfg := scheduler.Version(scheduler.Current)
 	cfg.DataCenter = "hall"
 	cfg.Rand = rand.New(rand.NewPCG(1, 1))
 	s := scheduler.New(cfg)
 	now := time.Unix(1000, 0)
-	var list []fleet.Endpoint
+	var endpoints []fleet.Endpoint
 	var shares []scheduler.Share
-	for i := range endpoints {
+	for i := range endpointCount {
 		id := fmt.Sprint("e", i)
-		list = append(list, fleet.Endpoint{ID: id, Type: fleet.Engine, DataCenter: "hall", Address: "127.0.0.1:1",
+		endpoints = append(endpoints, fleet.Endpoint{ID: id, Type: fleet.Engine, DataCenter: "hall", Address: "127.0.0.1:1",
 			Targets: []string{"m"}, Incarnation: 1, State: fleet.Live, CapacityTokens: 100_000, MaxRunning: 256})
 		sh := scheduler.Share{Endpoint: id, Running: 20}
 		for h := range sh.Projected {
@@ -34,24 +34,23 @@
 		}
 		shares = append(shares, sh)
 	}
-	s.SetEndpoints(now, list)
+	s.SetEndpoints(now, endpoints)
 	for i := range 10 {
-		s.SetHome(fmt.Sprint("e", i*endpoints/10), 3)
+		s.SetHome(fmt.Sprint("e", i*endpointCount/10), 3)
 	}
 	s.SetShares(now, "peer", shares)
 	return s, now
 }
 
-// BenchmarkDecision measures one request from Submit over its choice among the
-// endpoints to Finish.
+// BenchmarkDecision measures a request from Submit through dispatch to Finish.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{15, 120, 1200} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			s, now := loaded(n)
+			s, now := newLoadedScheduler(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := scheduler.ID(i + 1)
-				r := scheduler.Request{ID: id, Workspace: "w", Kind: "k", Row: row, PromptTokens: 300, Arrived: now}
+				r := scheduler.Request{ID: id, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: 300, Arrived: now}
 				if err := s.Submit(now, r); err != nil {
 					b.Fatal(err)
 				}
@@ -64,20 +63,20 @@
 	}
 }
 
-// BenchmarkEngineDecision measures the same of an entry that sends prompts only where
-// they begin in time. On a busy machine, microseconds a decision before 15, 120 and 1,200
-// endpoints: 4.7, 18 and 122 when each looked for the least backlog anew, 5.6, 7.3 and
-// 29 since that is done every 20 ms.
+// BenchmarkEngineDecision measures the same for an entry that sends prompts only to engines
+// that start them in time. On a busy machine, a decision among 15, 120 and 1,200 endpoints
+// takes 5.6, 7.3 and 29 µs with the smallest backlog cached for 20 ms, and 4.7, 18 and 122 µs
+// if each decision searches for it.
 func BenchmarkEngineDecision(b *testing.B) {
 	for _, n := range []int{15, 120, 1200} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			s := forwarding("dc0", 1)
+			s := newForwardingScheduler("dc0", 1)
 			now := time.Unix(1000, 0)
-			var list []fleet.Endpoint
+			var endpoints []fleet.Endpoint
 			for i := range n {
-				list = append(list, engine(fmt.Sprint("e", i), fmt.Sprint("dc", i%3)))
+				endpoints = append(endpoints, engine(fmt.Sprint("e", i), fmt.Sprint("dc", i%3)))
 			}
-			s.SetEndpoints(now, list)
+			s.SetEndpoints(now, endpoints)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(5 * time.Millisecond)
 				r := longRequest(i+1, now)
@@ -95,9 +94,10 @@
 	}
 }
 
+// BenchmarkProgress measures one token update of a running request.
 func BenchmarkProgress(b *testing.B) {
-	s, now := loaded(120)
-	if err := s.Submit(now, scheduler.Request{ID: 1, Workspace: "w", Kind: "k", Row: row, PromptTokens: 300, Arrived: now}); err != nil {
+	s, now := newLoadedScheduler(120)
+	if err := s.Submit(now, scheduler.Request{ID: 1, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: 300, Arrived: now}); err != nil {
 		b.Fatal(err)
 	}
 	s.Next(now)
--- a/pkg/scheduler/burst_test.go
+++ b/pkg/scheduler/burst_test.go
@@ -10,46 +10,47 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// burst is a load that is light, then for some seconds more than the engines can read.
-func burst(at time.Duration) float64 {
-	if at >= 5*time.Second && at < 15*time.Second {
+// burstRate is a light load in requests per second of each kind, with a burst of 10 s during
+// which more prompts come than the engines can prefill.
+func burstRate(elapsed time.Duration) float64 {
+	if elapsed >= 5*time.Second && elapsed < 15*time.Second {
 		return 11
 	}
 	return 2.5
 }
 
-// TestABurstIsAnsweredInTime plays 25 s of load with a burst of 10 s, at which the
-// prompts of a second need 1.35 s of all engines, over five seeds. Of the long answers
-// 270 of 735 begin in time without the bound on starts (v9) and 442 with it (v10):
-// those beyond it are refused at the moment they come, and 4 begin late.
-func TestABurstIsAnsweredInTime(t *testing.T) {
+// TestBurstMeetsStartObjective simulates 25 s of load with a burst of 10 s, during which the
+// prompts of one second need 1.35 s of prefill at all engines, with five seeds. Without
+// EnforceStartObjective (v9) 270 of 735 long answers begin in time. With it (v10) 442 do,
+// 4 begin late, and the other requests are refused on arrival.
+func TestBurstMeetsStartObjective(t *testing.T) {
 	g := NewWithT(t)
-	sum := map[string]got{}
+	totals := map[string]got{}
 	for _, version := range []string{"v9", "v10"} {
 		for seed := range uint64(5) {
 			p := newPlayed(version, seed)
-			p.play(12*time.Second, burst)
-			g.Expect(p.anyPressed()).To(Equal(version == "v10"), "v9 doesn't see the burst")
-			p.play(13*time.Second, func(at time.Duration) float64 { return burst(at + 12*time.Second) })
+			p.play(12*time.Second, burstRate)
+			g.Expect(p.anyPressed()).To(Equal(version == "v10"), "only v10 detects the burst")
+			p.play(13*time.Second, func(elapsed time.Duration) float64 { return burstRate(elapsed + 12*time.Second) })
 			p.play(10*time.Second, func(time.Duration) float64 { return 0 })
 			long := p.got(false)
-			all := sum[version]
-			sum[version] = got{all.asked + long.asked, all.inTime + long.inTime, all.late + long.late, all.refused + long.refused}
+			total := totals[version]
+			totals[version] = got{total.asked + long.asked, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
 			short := p.got(true)
-			g.Expect(short.refused).To(BeZero(), "urgent requests are read first")
+			g.Expect(short.refused).To(BeZero(), "urgent prompts are prefilled first")
 			g.Expect(short.inTime).To(BeNumerically(">=", short.asked*95/100))
 			if version == "v10" {
 				p.expectNobodyHeld(g)
 			}
 		}
 	}
-	g.Expect(sum["v10"].inTime).To(BeNumerically(">=", sum["v9"].inTime*130/100))
-	g.Expect(sum["v10"].late).To(BeNumerically("<=", sum["v10"].asked*5/100))
+	g.Expect(totals["v10"].inTime).To(BeNumerically(">=", totals["v9"].inTime*130/100))
+	g.Expect(totals["v10"].late).To(BeNumerically("<=", totals["v10"].asked*5/100))
 }
 
-// TestALightLoadIsNeverRefused: the bound on starts refuses nobody while engines have
-// time, and every answer begins in time.
-func TestALightLoadIsNeverRefused(t *testing.T) {
+// TestLightLoadIsNotRefused checks that EnforceStartObjective refuses no request while the
+// engines have spare prefill capacity, and that every answer begins in time.
+func TestLightLoadIsNotRefused(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
 		p := newPlayed(scheduler.Forwarding, seed)
@@ -59,19 +60,19 @@
 		}
 		p.play(10*time.Second, func(time.Duration) float64 { return 0 })
 		for _, urgent := range []bool{true, false} {
-			all := p.got(urgent)
-			g.Expect(all.refused).To(BeZero())
-			g.Expect(all.inTime).To(Equal(all.asked))
+			results := p.got(urgent)
+			g.Expect(results.refused).To(BeZero())
+			g.Expect(results.inTime).To(Equal(results.asked))
 		}
 	}
 }
 
-// TestAnIdleEngineTakesWhatBeginsLateAnyway: an objective that is shorter than the reading
-// of the prompt refuses nobody while engines are idle.
-func TestAnIdleEngineTakesWhatBeginsLateAnyway(t *testing.T) {
+// TestIdleEngineAcceptsUnattainableObjective checks that a request whose objective is shorter
+// than the prefill of its prompt isn't refused while an engine is idle.
+func TestIdleEngineAcceptsUnattainableObjective(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
 	r := longRequest(1, now)
 	r.Row.Objective = 100 * time.Millisecond
@@ -79,11 +80,12 @@
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 }
 
-// TestEnginesThatReadFasterAreNotTakenToBeBusy: what an engine has begun with shows that
-// it has read all that came before, however fast it was expected to read. At 14,000 tokens
-// a second an engine, twice what is expected, and 9,000 that come, 15 of 990 long requests
-// are refused over five seeds; without learning 52 of 174 with the first seed.
-func TestEnginesThatReadFasterAreNotTakenToBeBusy(t *testing.T) {
+// TestFastPrefillIsLearned checks that an engine that begins to answer counts as having
+// prefilled all earlier prompts, however fast it was expected to. Otherwise fast engines
+// would appear busy and requests would be refused. With a prefill rate of 14,000 tokens per
+// second and engine, twice the expected one, and 9,000 arriving, 15 of 990 long requests are
+// refused over five seeds; without learning, 52 of 174 with the first seed.
+func TestFastPrefillIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
 		p := newPlayed(scheduler.Forwarding, seed)
@@ -96,34 +98,34 @@
 	}
 }
 
-// TestSlowEnginesAreSentWhatBeginsInTime: engines that read at 4,200 tokens a second in
-// place of the 7,000 expected, at a third more prompts than they can read for 20 s. By the
-// pace that was seen, prompts are refused at once that would begin late and keep others
-// waiting: over five seeds 19 of 641 long answers begin late in place of 42, and 341 in
-// place of 321 in time.
-func TestSlowEnginesAreSentWhatBeginsInTime(t *testing.T) {
+// TestSlowPrefillIsLearned simulates engines that prefill 4,200 tokens per second instead of
+// the expected 7,000, under a third more prompts than they can prefill for 20 s. With the
+// learned rate (v13), prompts that would begin late and delay others are refused at once:
+// over five seeds 19 of 641 long answers begin late and 341 in time, instead of 42 and 321
+// without it (v12).
+func TestSlowPrefillIsLearned(t *testing.T) {
 	g := NewWithT(t)
-	sum := map[string]got{}
+	totals := map[string]got{}
 	for _, version := range []string{"v12", "v13"} {
 		for seed := range uint64(5) {
 			p := newPlayed(version, seed)
 			p.readRate = 0.6 * playedReadRate
 			p.play(20*time.Second, func(time.Duration) float64 { return 6.5 })
 			p.play(20*time.Second, func(time.Duration) float64 { return 0 })
-			long, all := p.got(false), sum[version]
-			sum[version] = got{all.asked + long.asked, all.inTime + long.inTime, all.late + long.late, all.refused + long.refused}
+			long, total := p.got(false), totals[version]
+			totals[version] = got{total.asked + long.asked, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
 		}
 	}
-	g.Expect(sum["v13"].inTime).To(BeNumerically(">=", sum["v12"].inTime*105/100))
-	g.Expect(sum["v13"].late).To(BeNumerically("<=", sum["v12"].late/2))
+	g.Expect(totals["v13"].inTime).To(BeNumerically(">=", totals["v12"].inTime*105/100))
+	g.Expect(totals["v13"].late).To(BeNumerically("<=", totals["v12"].late/2))
 }
 
-// TestWorkOfOthersOutlastsANewList: what a report has shown of the others' work is not
-// forgotten when the list of endpoints changes.
-func TestWorkOfOthersOutlastsANewList(t *testing.T) {
+// TestPeerLoadSurvivesNewEndpointList checks that the peer load derived from a report is kept
+// when the list of endpoints changes.
+func TestPeerLoadSurvivesNewEndpointList(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	endpoints := []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")}
 	s.SetEndpoints(now, endpoints)
 	s.Report(now, scheduler.Report{Endpoint: "a", Incarnation: 1, At: now, UsedTokens: 30_000, CapacityTokens: 34_000, Running: 9})
@@ -136,12 +138,12 @@
 	}
 }
 
-// TestPromptsAreCountedUntilAReportShowsThem: what others told is part of an engine's
-// load at once, and not counted twice when a report that is newer comes.
-func TestPromptsAreCountedUntilAReportShowsThem(t *testing.T) {
+// TestPeerPromptsCountUntilReported checks that a prompt announced by a peer adds to an
+// engine's load at once, and isn't counted twice when a later report includes it.
+func TestPeerPromptsCountUntilReported(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
 	load := func() float64 { return s.Status(now)[0].Projected[0] }
 	report := func(used int) {
@@ -153,53 +155,55 @@
 	g.Expect(load()).To(BeNumerically("~", 13_000, 1))
 	now = now.Add(200 * time.Millisecond)
 	report(10_000)
-	g.Expect(load()).To(BeNumerically("~", 13_000, 1), "the report was made before the prompt came")
+	g.Expect(load()).To(BeNumerically("~", 13_000, 1), "the report was made before the prompt was sent")
 	now = now.Add(time.Second)
 	report(13_000)
 	g.Expect(load()).To(BeNumerically("~", 13_000, 1))
 }
 
-// TestPromptsThatAreReadInTurn plays the burst before engines that read urgent prompts in
-// turn with the others, over five seeds. Sent to the engine with the most memory left whatever
-// it has to read (v13), they delay the long ones, which are sent and refused by estimates that
-// take urgent ones to be read first; v14 sends both where they begin in time, and refuses no
-// urgent one. The worth of an answer in time is 190 and 25: 101,625 with v13, 118,490 with v14;
-// of 721 urgent ones 721 and 704 begin in time.
-func TestPromptsThatAreReadInTurn(t *testing.T) {
+// TestFIFOPrefillStartsUrgentPromptsInTime simulates the burst with engines that prefill
+// urgent and other prompts in order of arrival, with five seeds. v13 sends urgent prompts to
+// the engine with the most free memory regardless of its prefill backlog, where they delay
+// the long ones, which it sends and refuses as if urgent prompts were prefilled first. v14
+// sends both kinds where they begin in time, and refuses no urgent request. With a value of
+// 190 per long and 25 per urgent answer that begins in time, the total is 101,625 with v13
+// and 118,490 with v14; of 721 urgent answers 721 and 704 begin in time.
+func TestFIFOPrefillStartsUrgentPromptsInTime(t *testing.T) {
 	g := NewWithT(t)
-	worth, urgent := map[string]int{}, map[string]got{}
+	value, urgent := map[string]int{}, map[string]got{}
 	for _, version := range []string{"v13", "v14"} {
 		for seed := range uint64(5) {
 			p := newPlayed(version, seed)
 			for _, e := range p.engines {
 				e.inTurn = true
 			}
-			p.play(25*time.Second, burst)
+			p.play(25*time.Second, burstRate)
 			p.play(10*time.Second, func(time.Duration) float64 { return 0 })
 			long, short := p.got(false), p.got(true)
-			worth[version] += 190*long.inTime + 25*short.inTime
-			all := urgent[version]
-			urgent[version] = got{all.asked + short.asked, all.inTime + short.inTime, all.late + short.late, all.refused + short.refused}
-			g.Expect(short.refused).To(BeZero(), "a late verdict is better than none")
+			value[version] += 190*long.inTime + 25*short.inTime
+			total := urgent[version]
+			urgent[version] = got{total.asked + short.asked, total.inTime + short.inTime, total.late + short.late, total.refused + short.refused}
+			g.Expect(short.refused).To(BeZero(), "urgent requests are never refused")
 		}
 	}
-	t.Logf("worth %v, urgent %+v", worth, urgent)
-	g.Expect(worth["v14"]).To(BeNumerically(">", worth["v13"]))
-	g.Expect(urgent["v14"].inTime).To(BeNumerically(">=", urgent["v14"].asked*95/100), "they are starved")
+	t.Logf("value %v, urgent %+v", value, urgent)
+	g.Expect(value["v14"]).To(BeNumerically(">", value["v13"]))
+	g.Expect(urgent["v14"].inTime).To(BeNumerically(">=", urgent["v14"].asked*95/100), "urgent requests are starved")
 }
 
-// TestUrgentPromptsThatFitNowhere go to the engine that has least to read where prompts are
-// read in turn: beside one whose memory is free and that reads for 1.4 s there is one that
-// reads nothing and whose memory is full of what others run.
-func TestUrgentPromptsThatFitNowhere(t *testing.T) {
+// TestUrgentOvercommitUnderFIFOPrefill checks that an urgent prompt that fits nowhere goes to
+// the engine with the smallest prefill backlog where engines prefill in order of arrival (v14).
+// One engine has free memory and a backlog of 1.4 s; the other has no backlog, and its memory
+// is full of the peers' requests.
+func TestUrgentOvercommitUnderFIFOPrefill(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	for version, want := range map[string]string{"v13": "reads", "v14": "full"} {
+	for version, want := range map[string]string{"v13": "backlogged", "v14": "full"} {
 		cfg := scheduler.Version(version)
 		cfg.DataCenter = "dc0"
 		s := scheduler.New(cfg)
-		s.SetEndpoints(now, []fleet.Endpoint{engine("reads", "dc0"), engine("full", "dc0")})
-		s.PromptSent(now, "reads", 10_000)
+		s.SetEndpoints(now, []fleet.Endpoint{engine("backlogged", "dc0"), engine("full", "dc0")})
+		s.PromptSent(now, "backlogged", 10_000)
 		s.Report(now, scheduler.Report{Endpoint: "full", Incarnation: 1, At: now, UsedTokens: 33_500, CapacityTokens: 34_000, Running: 9})
 		g.Expect(s.Submit(now, scheduler.Request{ID: 1, Kind: "check", Row: shortRow, PromptTokens: 2200, Arrived: now})).To(BeNil())
 		dispatches := s.Next(now).Dispatches
--- a/pkg/scheduler/choose.go
+++ b/pkg/scheduler/choose.go
@@ -7,49 +7,52 @@
 	"github.com/bridgehoist/bridgehoist/pkg/routing"
 )
 
-// maxReported bounds the engines of other data centres that a decision looks at.
-const maxReported = 32
+// maxReportedCandidates bounds the engines of other data centres with a fresh report that
+// a decision compares.
+const maxReportedCandidates = 32
 
-// snapshot fills the candidates of a target with all but what depends on the
-// single request: its home endpoints, and a sample of the others, so that the
-// cost of a decision is bounded whatever the size of the fleet.
-func (s *Scheduler) snapshot(now time.Time, name string) {
-	t := s.target(name)
+// collectCandidates sets the candidates for a target: its home endpoints and a sample of
+// its other endpoints, which bounds the cost of a decision whatever the size of the fleet.
+// Fields that depend on a request are set by evaluateCandidates.
+func (s *Scheduler) collectCandidates(now time.Time, targetName string) {
+	t := s.target(targetName)
 	s.candidates = s.candidates[:0]
-	typical := s.typicalGap(now)
-	for _, e := range s.withoutApart(now, name, t.homes) {
-		s.addCandidate(now, e, typical)
-	}
-	s.sample(now, s.withoutApart(now, name, t.local), s.cfg.LocalChoices, typical)
-	s.sample(now, s.withoutApart(now, name, t.remoteServices), s.cfg.RemoteChoices, typical)
-	if !s.cfg.PeersFromReports {
-		s.sample(now, s.withoutApart(now, name, s.remoteChoices(now, t)), s.cfg.RemoteChoices, typical)
+	typicalGap := s.typicalGap(now)
+	for _, e := range s.excludeIsolationEndpoints(now, targetName, t.homes) {
+		s.addCandidate(now, e, typicalGap)
+	}
+	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.local), s.cfg.LocalSampleSize, typicalGap)
+	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.remoteServices), s.cfg.RemoteSampleSize, typicalGap)
+	if !s.cfg.PeerLoadFromReports {
+		s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, s.remoteChoices(now, t)), s.cfg.RemoteSampleSize, typicalGap)
 		return
 	}
-	s.reported = slices.DeleteFunc(s.reported, func(e *endpoint) bool { return e.gone || !e.fresh(now) })
+	s.reported = slices.DeleteFunc(s.reported, func(e *endpoint) bool { return e.removed || !e.hasFreshReport(now) })
 	for _, e := range s.reported {
-		if slices.Contains(e.spec.Targets, name) {
-			s.addCandidate(now, e, typical)
+		if slices.Contains(e.spec.Targets, targetName) {
+			s.addCandidate(now, e, typicalGap)
 		}
 	}
 }
 
-func (s *Scheduler) sample(now time.Time, from []*endpoint, most int, typical float64) {
-	if len(from) == 0 {
+// sampleCandidates adds up to maxCount of the endpoints at a regular stride from a random
+// start.
+func (s *Scheduler) sampleCandidates(now time.Time, endpoints []*endpoint, maxCount int, typicalGap float64) {
+	if len(endpoints) == 0 {
 		return
 	}
-	count := min(len(from), most)
-	first := s.cfg.Rand.IntN(len(from))
-	stride := len(from) / count
+	count := min(len(endpoints), maxCount)
+	first := s.cfg.Rand.IntN(len(endpoints))
+	stride := len(endpoints) / count
 	for i := range count {
-		s.addCandidate(now, from[(first+i*stride)%len(from)], typical)
+		s.addCandidate(now, endpoints[(first+i*stride)%len(endpoints)], typicalGap)
 	}
 }
 
-func (s *Scheduler) addCandidate(now time.Time, e *endpoint, typical float64) {
+func (s *Scheduler) addCandidate(now time.Time, e *endpoint, typicalGap float64) {
 	slowness := 1.0
-	if e.gap > 0 {
-		slowness = e.gap / typical
+	if e.tokenGap > 0 {
+		slowness = e.tokenGap / typicalGap
 	}
 	s.candidates = append(s.candidates, routing.Candidate{
 		Index:    e.index,
@@ -58,49 +61,50 @@
 		Broken:   !s.takes(now, e),
 		Local:    e.spec.DataCenter == s.cfg.DataCenter,
 		Slowness: slowness,
-		Backlog:  s.backlog(now, e),
+		Backlog:  s.prefillBacklog(now, e),
 	})
 }
 
-// fits says whether a candidate has room. One of another data centre must have
-// more of it, because what is known of its load is older. An idle local endpoint
-// takes any request, else one larger than the endpoint would wait for ever.
+// fits reports whether a candidate has room for a request. A candidate in another data
+// centre needs more free capacity, because the view of its load is older. An idle local
+// endpoint accepts any request; otherwise a request larger than the endpoint would never
+// be dispatched.
 func (s *Scheduler) fits(now time.Time, c *routing.Candidate, e *endpoint, it *item) bool {
 	if s.pipeline(it).Anywhere {
 		return c.Fill <= 1 || e.ownRunning+e.peersRunning == 0
 	}
-	if !c.Local && !s.cfg.PeersFromReports {
-		return c.Fill <= spillFill
+	if !c.Local && !s.cfg.PeerLoadFromReports {
+		return c.Fill <= maxSpilloverUtilization
 	}
 	if !c.Local {
-		return e.fresh(now) && c.Fill <= e.shared(spillFill)
+		return e.hasFreshReport(now) && c.Fill <= e.sharedUtilizationLimit(maxSpilloverUtilization)
 	}
 	if e.ownRunning+e.peersRunning == 0 {
 		return true
 	}
-	if !s.cfg.Parts || e.spec.CapacityTokens == 0 {
+	if !s.cfg.PartitionMemory || e.spec.CapacityTokens == 0 {
 		return c.Fill <= 1
 	}
-	if e.parts == 0 && s.cfg.PeersFromReports {
-		return c.Fill <= e.shared(s.cfg.BorrowFill)
+	if e.homeEntries == 0 && s.cfg.PeerLoadFromReports {
+		return c.Fill <= e.sharedUtilizationLimit(s.cfg.MaxBorrowUtilization)
 	}
-	if c.Fill <= s.cfg.BorrowFill {
+	if c.Fill <= s.cfg.MaxBorrowUtilization {
 		return true
 	}
-	return c.Fill <= partFill && e.ownFill(&it.projection, it.req.Urgent(), s.room(0)) <= 1
+	return c.Fill <= maxPartitionUtilization && e.partitionUtilization(&it.projection, it.req.Urgent(), s.fitParams(0)) <= 1
 }
 
-func (s *Scheduler) room(extra float64) room {
-	return room{s.cfg.Margin, s.cfg.UrgentShare, extra}
+func (s *Scheduler) fitParams(unattributed float64) fitParams {
+	return fitParams{s.cfg.MarginStdDevs, s.cfg.UrgentReserve, unattributed}
 }
 
-// measure completes the candidates with what depends on the request.
-func (s *Scheduler) measure(now time.Time, it *item) {
+// evaluateCandidates sets the fields of the candidates that depend on the request.
+func (s *Scheduler) evaluateCandidates(now time.Time, it *item) {
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		e := s.endpoints[c.Index]
 		c.Serves = it.req.mayServe(e)
-		c.Fill = e.fill(&it.projection, it.req.Urgent(), s.room(e.extra(now)))
+		c.Fill = e.utilization(&it.projection, it.req.Urgent(), s.fitParams(e.unattributedLoad(now)))
 		c.Fits = s.fits(now, c, e, it) && s.beginsInTime(now, c.Backlog, it)
 	}
 }
@@ -112,38 +116,40 @@
 	return &s.cfg.ServicePipeline
 }
 
-func (s *Scheduler) choose(now time.Time, it *item) *endpoint {
-	if s.isApart(it) {
-		return s.chooseApart(now, it)
+// chooseEndpoint returns the endpoint for a request, or nil if it has to wait.
+func (s *Scheduler) chooseEndpoint(now time.Time, it *item) *endpoint {
+	if s.isIsolated(it) {
+		return s.isolationEndpoint(now, it)
 	}
-	// The request is a field, since it would escape to the heap with each call.
+	// The routing request is a field because a local variable would escape to the heap.
 	r := &s.request
 	*r = routing.Request{Urgent: it.req.Urgent(), Avoid: routing.None}
 	if e := s.byID[it.req.Avoid]; e != nil && len(s.candidates) > 1 {
 		r.Avoid = e.index
 	}
-	s.measure(now, it)
+	s.evaluateCandidates(now, it)
 	i := s.pipeline(it).Choose(s.cfg.Rand, r, s.candidates)
 	if i != routing.None {
 		return s.endpoints[i]
 	}
 	if r.Urgent && s.cfg.UrgentOvercommit {
-		return s.leastFilled(r)
+		return s.overcommitEndpoint(r)
 	}
 	return nil
 }
 
-// leastFilled finds the least filled endpoint that has a place, local ones first; where
-// prompts are read in turn, the one that has least to read.
-func (s *Scheduler) leastFilled(r *routing.Request) *endpoint {
+// overcommitEndpoint returns the endpoint with a free slot for an urgent request that fits
+// nowhere, or nil: the least utilized one, local ones first, or the one with the smallest
+// prefill backlog where engines prefill in order of arrival.
+func (s *Scheduler) overcommitEndpoint(r *routing.Request) *endpoint {
 	var best *routing.Candidate
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		e := s.endpoints[c.Index]
-		if !(routing.Usable{}).Keep(r, c) || c.Index == r.Avoid || e.places() > 1 {
+		if !(routing.Usable{}).Keep(r, c) || c.Index == r.Avoid || e.slotUtilization() > 1 {
 			continue
 		}
-		if best == nil || s.overcommitsTo(c, best) {
+		if best == nil || s.betterForOvercommit(c, best) {
 			best = c
 		}
 	}
@@ -153,11 +159,11 @@
 	return s.endpoints[best.Index]
 }
 
-// overcommitsTo reports whether a candidate is better than another for an urgent request that
-// fits nowhere.
-func (s *Scheduler) overcommitsTo(c, other *routing.Candidate) bool {
+// betterForOvercommit reports whether candidate c is preferred to other for an urgent
+// request that fits nowhere.
+func (s *Scheduler) betterForOvercommit(c, other *routing.Candidate) bool {
 	switch {
-	case s.cfg.ReadInTurn:
+	case s.cfg.FIFOPrefill:
 		return c.Backlog < other.Backlog
 	case c.Local != other.Local:
 		return c.Local
--- a/pkg/scheduler/cold.go
+++ b/pkg/scheduler/cold.go
@@ -8,74 +8,78 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// The load that this file answers: endpoints come back together and cold, after a fall or
-// because operators open their data centre again, and look emptier than all others. A cold
-// endpoint bears a number of requests a second, of all entries together, and falls over well
-// above it. Entries don't ask each other before each request, so each has a part of that
-// number: a whole number of requests a second, or, where entries are more than requests, one
-// a second for some of the entries, others at each endpoint.
+// This file limits the request rate of cold endpoints. Endpoints that crashed or whose data
+// centre was reopened come back together and cold, and have the lowest load of all. A cold
+// endpoint can serve a limited number of requests per second from all entries together, and
+// crashes well above it. Entries don't coordinate for each request, so each entry gets a
+// share of the limit: a whole number of requests per second. With more entries than requests
+// per second, some of the entries get one per second, different ones for each endpoint.
 
-// coldWindow is the time that the number of a cold endpoint is meant for.
+// coldWindow is the interval to which the limit of a cold endpoint applies.
 const coldWindow = time.Second
 
-// SetPlace tells the place of this entry among all, from zero, and how many they are: its
-// part of what cold endpoints bear follows from it.
-func (s *Scheduler) SetPlace(rank, entries int) { s.rank, s.entries = rank, max(entries, 1) }
+// SetEntryRank sets the rank of this entry among all entries, from zero, and their number.
+// They determine its share of the rate limits of cold endpoints.
+func (s *Scheduler) SetEntryRank(rank, entries int) { s.rank, s.entries = rank, max(entries, 1) }
 
-// learnCold takes what a new list says of an endpoint, of which the list before said
-// something else or, if it is empty, nothing.
-func (e *endpoint) learnCold(now time.Time, before fleet.Endpoint) {
-	if before.WarmUp != e.spec.WarmUp || before.Life() != e.spec.Life() {
-		e.turnedCold(now, e.spec.WarmUp)
+// updateWarmUp marks the endpoint as cold if its spec in a new endpoint list differs from
+// the previous spec, which is zero for a new endpoint: another instance, another warm-up
+// time, or a reopened data centre.
+func (e *endpoint) updateWarmUp(now time.Time, previous fleet.Endpoint) {
+	if previous.WarmUp != e.spec.WarmUp || previous.Life() != e.spec.Life() {
+		e.markCold(now, e.spec.WarmUp)
 	}
-	if before.Closed && !e.spec.Closed {
-		e.turnedCold(now, e.spec.Cold.For)
+	if previous.Closed && !e.spec.Closed {
+		e.markCold(now, e.spec.Cold.For)
 	}
 }
 
-// turnedCold records that an endpoint is cold for some time.
-func (e *endpoint) turnedCold(now time.Time, lasts time.Duration) {
-	if until := now.Add(lasts); lasts > 0 && until.After(e.coldUntil) {
+// markCold records that the endpoint is cold for a duration; it never shortens an earlier
+// one.
+func (e *endpoint) markCold(now time.Time, duration time.Duration) {
+	if until := now.Add(duration); duration > 0 && until.After(e.coldUntil) {
 		e.coldUntil = until
 	}
 }
 
-// bears reports whether a request of this entry may go to an endpoint as far as it is cold.
-func (s *Scheduler) bears(now time.Time, e *endpoint) bool {
+// coldLimitAllows reports whether an endpoint is warm or this entry's share of its cold
+// limit allows another request now.
+func (s *Scheduler) coldLimitAllows(now time.Time, e *endpoint) bool {
 	if e.spec.Cold.PerSecond <= 0 || !now.Before(e.coldUntil) {
 		return true
 	}
-	e.coldSends = slices.DeleteFunc(e.coldSends, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
-	return len(e.coldSends) < s.coldPart(e)
+	e.coldSendTimes = slices.DeleteFunc(e.coldSendTimes, func(sentAt time.Time) bool { return now.Sub(sentAt) >= coldWindow })
+	return len(e.coldSendTimes) < s.coldRateShare(e)
 }
 
-// coldPart is how many requests this entry may send to a cold endpoint a second.
-func (s *Scheduler) coldPart(e *endpoint) int {
+// coldRateShare returns how many requests per second this entry may send to a cold
+// endpoint.
+func (s *Scheduler) coldRateShare(e *endpoint) int {
 	entries := max(s.entries, 1)
-	each := int(e.spec.Cold.PerSecond) / entries
-	rest := int(e.spec.Cold.PerSecond) % entries
-	if s.turnAt(e, entries) < rest {
-		return each + 1
+	perEntry := int(e.spec.Cold.PerSecond) / entries
+	remainder := int(e.spec.Cold.PerSecond) % entries
+	if s.rotatedRank(e, entries) < remainder {
+		return perEntry + 1
 	}
-	return each
+	return perEntry
 }
 
-// turnAt places this entry among all at an endpoint, so that not the same ones have the
-// rest of the division at each.
-func (s *Scheduler) turnAt(e *endpoint, entries int) int {
+// rotatedRank returns the rank of this entry rotated by a hash of the endpoint, so that the
+// remainder of the division goes to different entries at each endpoint.
+func (s *Scheduler) rotatedRank(e *endpoint, entries int) int {
 	h := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(e.spec.ID))
 	return (s.rank + int(h.Sum32()%uint32(entries))) % entries
 }
 
-// sentCold counts a request that goes to an endpoint while it is cold.
-func (e *endpoint) sentCold(now time.Time) {
+// recordColdSend counts a request sent to the endpoint while it is cold.
+func (e *endpoint) recordColdSend(now time.Time) {
 	if e.spec.Cold.PerSecond > 0 && now.Before(e.coldUntil) {
-		e.coldSends = append(e.coldSends, now)
+		e.coldSendTimes = append(e.coldSendTimes, now)
 	}
 }
 
-// returned records that an endpoint answers which could not be reached: it may have started
-// again, which its record tells later.
-func (e *endpoint) returned(now time.Time) { e.turnedCold(now, e.spec.Cold.For) }
+// markRecovered marks an endpoint as cold that answers after it could not be reached: it may
+// have restarted, which its record shows only later.
+func (e *endpoint) markRecovered(now time.Time) { e.markCold(now, e.spec.Cold.For) }
--- a/pkg/scheduler/cold_test.go
+++ b/pkg/scheduler/cold_test.go
@@ -10,13 +10,14 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// coldPerSecond is what a cold endpoint of these tests bears, and coldFor for how long.
+// coldPerSecond is the limit of a cold endpoint in requests per second, and coldFor how long
+// an endpoint stays cold.
 const (
 	coldPerSecond = 27
 	coldFor       = 2 * time.Second
 )
 
-// coldEngine is an engine that says that it is cold.
+// coldEngine returns an engine that declares itself cold for coldFor.
 func coldEngine(id string) fleet.Endpoint {
 	e := engine(id, "dc0")
 	e.Cold = fleet.ColdLimit{For: coldFor, PerSecond: coldPerSecond}
@@ -24,94 +25,96 @@
 	return e
 }
 
-// TestColdEndpointsGetWhatTheyBear: entries that are asked for far more send a cold endpoint,
-// the only one there is, no more than it bears in any second, and use it fully when it is warm.
-func TestColdEndpointsGetWhatTheyBear(t *testing.T) {
+// TestColdEndpointsGetAtMostTheirLimit checks that entries under far higher load send a cold
+// endpoint, the only one, no more than its limit in any second, and exceed the limit once the
+// endpoint is warm.
+func TestColdEndpointsGetAtMostTheirLimit(t *testing.T) {
 	for _, entries := range []int{1, 6, 9, 66, 295} {
 		g := NewWithT(t)
-		begin := time.Unix(1000, 0)
-		var all []*scheduler.Scheduler
+		start := time.Unix(1000, 0)
+		var schedulers []*scheduler.Scheduler
 		for rank := range entries {
-			s := forwarding("dc0", uint64(rank))
-			s.SetPlace(rank, entries)
-			s.SetEndpoints(begin, []fleet.Endpoint{coldEngine("a")})
-			all = append(all, s)
+			s := newForwardingScheduler("dc0", uint64(rank))
+			s.SetEntryRank(rank, entries)
+			s.SetEndpoints(start, []fleet.Endpoint{coldEngine("a")})
+			schedulers = append(schedulers, s)
 		}
 		var sends []time.Time
-		warm := 0
+		warmSends := 0
 		for step := range 60 {
-			now := begin.Add(time.Duration(step) * 50 * time.Millisecond)
-			for _, s := range all {
+			now := start.Add(time.Duration(step) * 50 * time.Millisecond)
+			for _, s := range schedulers {
 				for n := range 3 {
 					_ = s.Submit(now, longRequest(step*10+n+1, now))
 				}
 				for _, d := range s.Next(now).Dispatches {
-					if now.Before(begin.Add(coldFor)) {
+					if now.Before(start.Add(coldFor)) {
 						sends = append(sends, now)
 					} else {
-						warm++
+						warmSends++
 					}
 					s.Finish(now, d.ID, scheduler.Result{Complete: true})
 				}
 			}
 		}
-		most := 0
-		for i, at := range sends {
-			within := 0
+		maxInWindow := 0
+		for i, sentAt := range sends {
+			inWindow := 0
 			for _, later := range sends[i:] {
-				if later.Sub(at) < time.Second {
-					within++
+				if later.Sub(sentAt) < time.Second {
+					inWindow++
 				}
 			}
-			most = max(most, within)
+			maxInWindow = max(maxInWindow, inWindow)
 		}
-		g.Expect(most).To(BeNumerically("<=", coldPerSecond), "%d entries", entries)
-		g.Expect(most).To(BeNumerically(">=", coldPerSecond/2), "%d entries: it isn't kept idle", entries)
-		g.Expect(warm).To(BeNumerically(">", coldPerSecond), "%d entries", entries)
+		g.Expect(maxInWindow).To(BeNumerically("<=", coldPerSecond), "%d entries", entries)
+		g.Expect(maxInWindow).To(BeNumerically(">=", coldPerSecond/2), "%d entries: the limit is used", entries)
+		g.Expect(warmSends).To(BeNumerically(">", coldPerSecond), "%d entries", entries)
 	}
 }
 
-// TestEndpointsTurnCold: with another start, when they say so at any moment, when their data
-// centre is opened again, and when they answer after they could not be reached.
-func TestEndpointsTurnCold(t *testing.T) {
-	begin := time.Unix(1000, 0)
+// TestEventsThatMarkEndpointsCold checks that an endpoint counts as cold after a restart, when
+// it declares itself cold, when its data centre is reopened, and when it answers after it
+// could not be reached.
+func TestEventsThatMarkEndpointsCold(t *testing.T) {
+	start := time.Unix(1000, 0)
 	warm := coldEngine("a")
 	warm.WarmUp = 0
 	cases := map[string]func(s *scheduler.Scheduler, now time.Time){
-		"another start": func(s *scheduler.Scheduler, now time.Time) {
-			again := coldEngine("a")
-			again.Incarnation++
-			s.SetEndpoints(now, []fleet.Endpoint{again})
+		"restarted": func(s *scheduler.Scheduler, now time.Time) {
+			restarted := coldEngine("a")
+			restarted.Incarnation++
+			s.SetEndpoints(now, []fleet.Endpoint{restarted})
 		},
-		"it says so": func(s *scheduler.Scheduler, now time.Time) {
+		"declared cold": func(s *scheduler.Scheduler, now time.Time) {
 			s.SetEndpoints(now, []fleet.Endpoint{coldEngine("a")})
 		},
-		"opened again": func(s *scheduler.Scheduler, now time.Time) {
+		"data centre reopened": func(s *scheduler.Scheduler, now time.Time) {
 			closed := warm
 			closed.Closed = true
 			s.SetEndpoints(now, []fleet.Endpoint{closed})
 			s.SetEndpoints(now, []fleet.Endpoint{warm})
 		},
-		"it answers again": func(s *scheduler.Scheduler, now time.Time) {
+		"reachable again": func(s *scheduler.Scheduler, now time.Time) {
 			_ = s.Submit(now, longRequest(900, now))
 			for _, d := range s.Next(now).Dispatches {
 				s.Finish(now, d.ID, scheduler.Result{Failed: true, Unreachable: true})
 			}
-			back := now.Add(600 * time.Millisecond)
-			_ = s.Submit(back, longRequest(901, back))
-			for _, d := range s.Next(back).Dispatches {
-				s.Finish(back, d.ID, scheduler.Result{Complete: true})
+			probeTime := now.Add(600 * time.Millisecond)
+			_ = s.Submit(probeTime, longRequest(901, probeTime))
+			for _, d := range s.Next(probeTime).Dispatches {
+				s.Finish(probeTime, d.ID, scheduler.Result{Complete: true})
 			}
 		},
 	}
-	for name, turn := range cases {
+	for name, markCold := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := forwarding("dc0", 1)
-			s.SetPlace(0, 1)
-			s.SetEndpoints(begin, []fleet.Endpoint{warm})
-			now := begin.Add(time.Minute)
-			turn(s, now)
+			s := newForwardingScheduler("dc0", 1)
+			s.SetEntryRank(0, 1)
+			s.SetEndpoints(start, []fleet.Endpoint{warm})
+			now := start.Add(time.Minute)
+			markCold(s, now)
 			now = now.Add(700 * time.Millisecond)
 			sent := 0
 			for id := range 2 * coldPerSecond {
@@ -126,30 +129,30 @@
 	}
 }
 
-// TestClosedEndpointsGetNothing until their data centre is open again; what is heard of
-// leaves meanwhile doesn't open them.
-func TestClosedEndpointsGetNothing(t *testing.T) {
+// TestClosedEndpointsGetNoRequests checks that endpoints of a closed data centre get no
+// requests until it is reopened, even if SetLeaving says that they aren't leaving.
+func TestClosedEndpointsGetNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	closed := engine("a", "dc0")
 	closed.Closed = true
 	s.SetEndpoints(now, []fleet.Endpoint{closed, engine("b", "dc0")})
 	s.SetLeaving("a", false)
-	at := map[string]int{}
+	sentTo := map[string]int{}
 	send := func(ids ...int) {
 		for _, id := range ids {
 			g.Expect(s.Submit(now, longRequest(id, now))).To(BeNil())
 			for _, d := range s.Next(now).Dispatches {
-				at[d.Endpoint.ID]++
+				sentTo[d.Endpoint.ID]++
 			}
 		}
 	}
 	send(1, 2, 3, 4)
-	g.Expect(at).To(Equal(map[string]int{"b": 4}))
+	g.Expect(sentTo).To(Equal(map[string]int{"b": 4}))
 	s.SetEndpoints(now, []fleet.Endpoint{closed})
-	g.Expect(s.Submit(now, longRequest(5, now))).NotTo(BeNil(), "nothing serves it")
+	g.Expect(s.Submit(now, longRequest(5, now))).NotTo(BeNil(), "no endpoint serves the target")
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")})
 	send(6, 7, 8, 9)
-	g.Expect(at["a"]).To(BeNumerically(">", 0))
+	g.Expect(sentTo["a"]).To(BeNumerically(">", 0))
 }
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -11,87 +11,93 @@
 
 // Config holds the settings of a Scheduler.
 type Config struct {
-	// DataCenter of the entry; its endpoints go first.
+	// DataCenter is the entry's data centre, whose endpoints are preferred.
 	DataCenter string
-	// Margin is the headroom in standard deviations of the projected memory.
-	Margin float64
-	// UrgentShare is the part of each engine's memory held for urgent requests.
-	UrgentShare float64
+	// MarginStdDevs is the headroom kept above the mean projected memory, in standard
+	// deviations.
+	MarginStdDevs float64
+	// UrgentReserve is the fraction of each engine's memory reserved for urgent requests.
+	UrgentReserve float64
 	// UrgentOvercommit sends an urgent request that fits nowhere to the least
-	// filled endpoint: the engine then pushes a long one aside for it.
+	// utilized endpoint; the engine then preempts a long request.
 	UrgentOvercommit bool
-	// RateSmoothing is the weight of one new measurement of the drain rate.
-	RateSmoothing float64
-	// RateWarmUp is for how long requests must have waited before the drain rate
-	// is believed.
-	RateWarmUp time.Duration
-	// Recost makes the costs of waiting requests anew as lengths are learnt.
-	Recost bool
-	// DisplaceRatio is by how much a request must be worth more per cost than a
-	// waiting one that it displaces.
+	// DrainRateSmoothing is the weight of a new sample in the moving average of the
+	// drain rate, which is the cost that leaves a queue per second.
+	DrainRateSmoothing float64
+	// DrainRateWarmUp is how long requests must have waited before the drain rate
+	// is used.
+	DrainRateWarmUp time.Duration
+	// RecomputeCosts updates the costs of waiting requests as output lengths are learned.
+	RecomputeCosts bool
+	// DisplaceRatio is the factor by which a request's value per cost must exceed that
+	// of a waiting request that it displaces.
 	DisplaceRatio float64
-	// OrderByWorth lets requests that are worth more per cost go earlier.
-	OrderByWorth bool
-	// PriorHazard is what is assumed of output lengths while none are known; see
+	// OrderByValuePerCost moves requests with a higher value per cost forward in the queue.
+	OrderByValuePerCost bool
+	// PriorHazard is the prior for output lengths while none have been observed; see
 	// package lengths.
 	PriorHazard float64
-	// Parts makes the entries split each endpoint's memory among its home
-	// entries; see SetHome.
-	Parts bool
-	// BorrowFill is the highest believed fill up to which an entry uses more of
-	// an endpoint than its own part.
-	BorrowFill float64
-	// PeersFromReports takes the others' work from the endpoints' load reports,
-	// so that entries need not tell each other.
-	PeersFromReports bool
-	// KeepHopeless runs requests that aren't expected to end before their timeout.
-	KeepHopeless bool
-	// LocalChoices and RemoteChoices are how many endpoints of the own and of other
-	// data centres one decision compares, chosen at random. Few choices keep entries
-	// with the same late news from all taking the same endpoint.
-	LocalChoices  int
-	RemoteChoices int
-	// ReadRate is how many prompt tokens an engine reads a second beside its other
-	// work; zero doesn't estimate what it has left.
-	ReadRate float64
-	// ReachByDataCenter keeps requests away from a data centre of which several
+	// PartitionMemory splits each endpoint's memory equally among its home entries;
+	// see SetHome.
+	PartitionMemory bool
+	// MaxBorrowUtilization is the projected utilization of an endpoint up to which an
+	// entry may use more than its own partition.
+	MaxBorrowUtilization float64
+	// PeerLoadFromReports derives the peers' load from the endpoints' load reports
+	// instead of from shares that the entries exchange.
+	PeerLoadFromReports bool
+	// DisableTimeoutRefusals runs requests even if they aren't expected to end before
+	// their timeout.
+	DisableTimeoutRefusals bool
+	// LocalSampleSize and RemoteSampleSize are how many randomly sampled endpoints of
+	// the entry's own and of other data centres one decision compares. Small samples
+	// keep entries with the same stale view from all choosing the same endpoint.
+	LocalSampleSize  int
+	RemoteSampleSize int
+	// PrefillRate is how many prompt tokens per second an engine prefills beside its
+	// other work. Zero disables the estimate of its prefill backlog.
+	PrefillRate float64
+	// DataCenterBreakers keeps requests away from a data centre after several of its
 	// endpoints in a row could not be reached.
-	ReachByDataCenter bool
-	// RefuseUnservable refuses at once what no endpoint is expected to serve soon.
+	DataCenterBreakers bool
+	// RefuseUnservable refuses requests at once if no endpoint is expected to serve
+	// them soon.
 	RefuseUnservable bool
-	// StartInTime sends a request only to engines that are expected to begin with its
-	// answer within its objective, and refuses it while there is none.
-	StartInTime bool
-	// OthersFromReports takes what a report shows beside the own work as the work of
-	// other entries, until the next report, and adds the prompts that they have told of
-	// since.
-	OthersFromReports bool
-	// TimeToRun lets a request wait only as long as it can still be answered before its
-	// timeout, by how long requests of its kind have run.
-	TimeToRun bool
-	// KnownRemotes sends prompts to engines of other data centres only while it is known
-	// how busy they are.
-	KnownRemotes bool
-	// ToldReads counts what engines have still to read by what entries tell of prompts that
-	// were sent and read, in place of estimating it by a rate.
-	ToldReads bool
-	// LearnPace learns how fast prompts that aren't urgent get through what is before them.
-	LearnPace bool
-	// ReadInTurn says that engines read prompts in the order in which they come, the urgent
-	// ones too, since requests carry no priorities.
-	ReadInTurn bool
-	// CompareAll looks at all endpoints a decision, whatever LocalChoices and
-	// RemoteChoices say.
-	CompareAll bool
-	// NoBreakers sends requests to endpoints however they have failed.
-	NoBreakers bool
-	// KeepLate queues requests that aren't expected to start in time.
-	KeepLate bool
-	// ForgetLengths learns no output lengths.
-	ForgetLengths bool
-	// Pipeline chooses endpoints.
+	// EnforceStartObjective sends a request only to engines that are expected to begin
+	// its answer within the objective of its row, and refuses it if there are none.
+	EnforceStartObjective bool
+	// PeerLoadFromReportsAndNotices takes the load in a report that isn't the entry's
+	// own as peer load until the next report, and adds the prompts that peers have
+	// announced since.
+	PeerLoadFromReportsAndNotices bool
+	// LimitWaitByRunTime limits the queue time of a request so that it can still be
+	// answered before its timeout, given how long requests of its kind have run.
+	LimitWaitByRunTime bool
+	// RequireRemoteReports sends prompts to engines of other data centres only while
+	// their load is known.
+	RequireRemoteReports bool
+	// PrefillFromNotices counts the pending prefill tokens of engines from the entries'
+	// notices of prompts sent and prefilled, instead of estimating them from a rate.
+	PrefillFromNotices bool
+	// LearnEffectivePrefillRate learns the rate at which engines work off the prefill
+	// backlog before prompts that aren't urgent.
+	LearnEffectivePrefillRate bool
+	// FIFOPrefill assumes that engines prefill all prompts, urgent ones too, in order of
+	// arrival, since requests carry no priorities.
+	FIFOPrefill bool
+	// DisableSampling compares all endpoints in each decision, regardless of
+	// LocalSampleSize and RemoteSampleSize.
+	DisableSampling bool
+	// DisableBreakers sends requests to endpoints regardless of their failures.
+	DisableBreakers bool
+	// DisableDeadlineRefusals queues requests even if they aren't expected to start
+	// in time.
+	DisableDeadlineRefusals bool
+	// DisableLengthLearning keeps the prior for output lengths instead of learning them.
+	DisableLengthLearning bool
+	// Pipeline filters and scores engines.
 	Pipeline routing.Pipeline
-	// ServicePipeline chooses among plain services.
+	// ServicePipeline filters and scores plain services.
 	ServicePipeline routing.Pipeline
 	// Rand is the source of all randomness.
 	Rand *rand.Rand
@@ -99,42 +105,43 @@
 
 // Defaults of Config.
 const (
-	DefaultMargin      = 1.0
-	DefaultUrgentShare = 0.1
-	// DefaultReadRate is what the users' engines read beside some running generations:
-	// 112 tokens a step of 15 to 16 ms (PROTOCOL, model servers; the step's time was measured).
-	DefaultReadRate = 7000
-	// reprojectEvery is after how many tokens a projection is made anew.
-	reprojectEvery = 16
-	// defaultGap is the time between tokens assumed while nothing is known.
-	defaultGap = 25 * time.Millisecond
-	// Bounds and jitter of the time after which a refused caller may come back.
+	DefaultMarginStdDevs = 1.0
+	DefaultUrgentReserve = 0.1
+	// DefaultPrefillRate is the prefill rate in tokens per second of an engine that also
+	// runs some generations: 112 tokens per step of 15 to 16 ms.
+	DefaultPrefillRate = 7000
+	// reprojectTokens is the number of generated tokens between updates of a projection.
+	reprojectTokens = 16
+	// defaultTokenGap is the time between tokens assumed while none has been observed.
+	defaultTokenGap = 25 * time.Millisecond
+	// Bounds and jitter of the retry delay in a refusal.
 	minRetryAfter    = 200 * time.Millisecond
 	maxRetryAfter    = time.Minute
 	retryAfterJitter = 0.25
-	// spillFill is the highest fill up to which an endpoint of another data
-	// centre gets work that no local one has room for.
-	spillFill = 0.6
-	// DefaultBorrowFill is that of version v4.
-	DefaultBorrowFill = 0.85
-	// partFill is the highest believed fill up to which it uses its own part.
-	partFill = 1.2
-	// DefaultRateSmoothing and DefaultDisplaceRatio are those of version v1.
-	DefaultRateSmoothing = 0.2
-	DefaultDisplaceRatio = 1.25
+	// maxSpilloverUtilization is the utilization up to which an endpoint of another
+	// data centre gets requests that fit at no local endpoint.
+	maxSpilloverUtilization = 0.6
+	// DefaultMaxBorrowUtilization is the value of version v4.
+	DefaultMaxBorrowUtilization = 0.85
+	// maxPartitionUtilization is the projected utilization of an endpoint up to which
+	// an entry may use its own partition.
+	maxPartitionUtilization = 1.2
+	// DefaultDrainRateSmoothing and DefaultDisplaceRatio are the values of version v1.
+	DefaultDrainRateSmoothing = 0.2
+	DefaultDisplaceRatio      = 1.25
 )
 
 func (c Config) withDefaults() Config {
-	c.Margin = cmp.Or(c.Margin, DefaultMargin)
-	c.UrgentShare = cmp.Or(c.UrgentShare, DefaultUrgentShare)
-	c.BorrowFill = cmp.Or(c.BorrowFill, DefaultBorrowFill)
+	c.MarginStdDevs = cmp.Or(c.MarginStdDevs, DefaultMarginStdDevs)
+	c.UrgentReserve = cmp.Or(c.UrgentReserve, DefaultUrgentReserve)
+	c.MaxBorrowUtilization = cmp.Or(c.MaxBorrowUtilization, DefaultMaxBorrowUtilization)
 	c.PriorHazard = cmp.Or(c.PriorHazard, lengths.PriorHazard)
-	c.RateSmoothing = cmp.Or(c.RateSmoothing, DefaultRateSmoothing)
+	c.DrainRateSmoothing = cmp.Or(c.DrainRateSmoothing, DefaultDrainRateSmoothing)
 	c.DisplaceRatio = cmp.Or(c.DisplaceRatio, DefaultDisplaceRatio)
-	c.LocalChoices = cmp.Or(c.LocalChoices, sampleLocal)
-	c.RemoteChoices = cmp.Or(c.RemoteChoices, sampleRemote)
-	if c.CompareAll {
-		c.LocalChoices, c.RemoteChoices = allEndpoints, allEndpoints
+	c.LocalSampleSize = cmp.Or(c.LocalSampleSize, sampleLocal)
+	c.RemoteSampleSize = cmp.Or(c.RemoteSampleSize, sampleRemote)
+	if c.DisableSampling {
+		c.LocalSampleSize, c.RemoteSampleSize = unlimitedSampleSize, unlimitedSampleSize
 	}
 	if c.Pipeline.Filters == nil {
 		c.Pipeline = routing.Default()
--- a/pkg/scheduler/endpoint.go
+++ b/pkg/scheduler/endpoint.go
@@ -10,235 +10,252 @@
 )
 
 const (
-	// gapSmoothing is the weight of one new gap in the mean time between tokens.
-	gapSmoothing = 0.05
-	// unexplainedFor is how long load that nobody claims is believed.
-	unexplainedFor = 3 * time.Second
+	// tokenGapSmoothing is the weight of a new gap in the moving average of the time
+	// between tokens.
+	tokenGapSmoothing = 0.05
+	// unattributedLoadTTL is how long reported load that no entry accounts for counts.
+	unattributedLoadTTL = 3 * time.Second
 )
 
-// endpoint is one endpoint as this entry believes it to be.
+// endpoint is this entry's view of one endpoint.
 type endpoint struct {
-	spec    fleet.Endpoint
+	spec fleet.Endpoint
+	// index is the position in Scheduler.endpoints.
 	index   int
 	leaving bool
-	// parts is among how many home entries the memory is split; zero if this
-	// entry is none of them.
-	parts   int
-	gone    bool
+	// homeEntries is the number of home entries that share the memory; zero if this
+	// entry isn't one of them.
+	homeEntries int
+	// removed is set once the list of endpoints no longer has this instance.
+	removed bool
 	breaker retry.Breaker
 
-	own          lengths.Projection
-	ownRunning   int
-	peers        lengths.Profile
-	peersRunning int
-
-	// unread counts the prompt tokens of own requests that have not begun.
-	unread float64
-	// prompts estimates the prompt tokens of all entries that the engine had still to
-	// read at promptsAt.
-	prompts   float64
-	promptsAt time.Time
-	// sentTotal counts all prompt tokens that are known to have been sent.
-	sentTotal float64
-
-	// othersUnread are the prompts of other entries that are still to be read.
-	othersUnread unreadPrompts
-	// told are the prompts of other entries that no report shows yet, the oldest first.
-	told []toldPrompt
-
-	// coldUntil is until when the endpoint is cold, and coldSends when this entry has sent to
-	// it since, within coldWindow.
-	coldUntil time.Time
-	coldSends []time.Time
-
-	report      Report
-	unexplained float64
-	// gap is the mean time between tokens in seconds; zero if unknown.
-	gap float64
-}
-
-// take counts a projection, with sign 1 to add and -1 to remove it.
-func (e *endpoint) take(it *item, sign float64) {
+	ownProjection lengths.Projection
+	ownRunning    int
+	peerLoad      lengths.Profile
+	peersRunning  int
+
+	// ownPendingPrefill is the number of prompt tokens of this entry's requests whose
+	// answers haven't begun.
+	ownPendingPrefill float64
+	// estimatedPrefill is the estimated number of pending prefill tokens of all entries
+	// at estimatedAt.
+	estimatedPrefill float64
+	estimatedAt      time.Time
+	// promptTokensSent counts all prompt tokens sent by this entry or announced by peers.
+	promptTokensSent float64
+
+	// peerPendingPrefill are the prompts of peers that the engine has yet to prefill.
+	peerPendingPrefill unreadPrompts
+	// unreportedPrompts are the prompts that peers announced and that no report shows
+	// yet, oldest first.
+	unreportedPrompts []peerPrompt
+
+	// coldUntil is the time at which the endpoint stops being cold, and coldSendTimes
+	// when this entry sent requests to the cold endpoint within the last coldWindow.
+	coldUntil     time.Time
+	coldSendTimes []time.Time
+
+	report Report
+	// unattributedTokens is the memory in tokens that the last report showed and that the load of
+	// no known entry accounts for.
+	unattributedTokens float64
+	// tokenGap is the mean time between tokens in seconds; zero if unknown.
+	tokenGap float64
+}
+
+// addProjection adds the projection of a request with sign 1 and removes it with sign -1.
+func (e *endpoint) addProjection(it *item, sign float64) {
 	for i := range it.projection.Mean {
-		e.own.Mean[i] += sign * it.projection.Mean[i]
-		e.own.Variance[i] += sign * it.projection.Variance[i]
+		e.ownProjection.Mean[i] += sign * it.projection.Mean[i]
+		e.ownProjection.Variance[i] += sign * it.projection.Variance[i]
 	}
 }
 
-// room describes what the fit of a request is measured against.
-type room struct {
-	// margin is in standard deviations.
-	margin float64
-	// held is the share of the capacity held for urgent requests.
-	held float64
-	// extra is believed load that no share accounts for.
-	extra float64
+// fitParams are the margins and reserves that apply when a request is fitted to an endpoint.
+type fitParams struct {
+	// marginStdDevs is the headroom in standard deviations of the projected memory.
+	marginStdDevs float64
+	// urgentReserve is the fraction of the capacity reserved for urgent requests.
+	urgentReserve float64
+	// unattributedTokens is reported load that no entry accounts for.
+	unattributedTokens float64
 }
 
-// places gives the share of its places in use, with one more request.
-// A plain service tells no load, so its places are split among its home entries.
-func (e *endpoint) places() float64 {
-	if e.spec.CapacityTokens == 0 && e.parts > 0 {
-		return float64(e.ownRunning+1) / float64(max(e.spec.MaxRunning/e.parts, 1))
+// slotUtilization returns the fraction of the request slots in use with one more request.
+// A plain service doesn't report its load, so its slots are split among its home entries.
+func (e *endpoint) slotUtilization() float64 {
+	if e.spec.CapacityTokens == 0 && e.homeEntries > 0 {
+		return float64(e.ownRunning+1) / float64(max(e.spec.MaxRunning/e.homeEntries, 1))
 	}
 	return float64(e.ownRunning+e.peersRunning+1) / float64(e.spec.MaxRunning)
 }
 
-// fill gives the projected use of the endpoint with one more request on top,
-// as a share of the room that the request may use.
-func (e *endpoint) fill(p *lengths.Projection, urgent bool, r room) float64 {
-	places := e.places()
+// utilization returns the projected utilization of the endpoint with one more request, as
+// a fraction of the capacity that the request may use.
+func (e *endpoint) utilization(p *lengths.Projection, urgent bool, r fitParams) float64 {
+	slots := e.slotUtilization()
 	if e.spec.CapacityTokens == 0 {
-		return places
+		return slots
 	}
 	capacity := float64(e.spec.CapacityTokens)
 	if !urgent {
-		capacity *= 1 - r.held
+		capacity *= 1 - r.urgentReserve
 	}
-	return max(e.top(p, &e.peers, r.extra, r.margin)/capacity, places)
+	return max(e.peakProjection(p, &e.peerLoad, r.unattributedTokens, r.marginStdDevs)/capacity, slots)
 }
 
-// queuedPrompt is what one request in a reported queue counts for in tokens.
-const queuedPrompt = 2500
+// assumedQueuedPromptTokens is the assumed prompt length of a request that a report shows
+// as waiting.
+const assumedQueuedPromptTokens = 2500
 
-// backlog counts the prompt tokens that are still to be read: what entries have sent, or
-// what the last report showed waiting, whichever is more. A report is believed less as it
-// ages.
-func (s *Scheduler) backlog(now time.Time, e *endpoint) float64 {
-	known := s.unreadOf(now, e)
+// prefillBacklog returns the number of pending prefill tokens: those that entries have
+// sent, or those of the requests that the last report shows as waiting, whichever is more.
+// The weight of a report decreases linearly to zero as it ages to unattributedLoadTTL.
+func (s *Scheduler) prefillBacklog(now time.Time, e *endpoint) float64 {
+	counted := s.unreadOf(now, e)
 	age := now.Sub(e.report.At)
-	if age > unexplainedFor {
-		return known
+	if age > unattributedLoadTTL {
+		return counted
 	}
-	reported := float64(e.report.Waiting*queuedPrompt) * (1 - float64(age)/float64(unexplainedFor))
-	return max(known, reported)
+	reported := float64(e.report.Waiting*assumedQueuedPromptTokens) * (1 - float64(age)/float64(unattributedLoadTTL))
+	return max(counted, reported)
 }
 
-// promptsLeft is what an engine that reads so many tokens a second has left.
-func (e *endpoint) promptsLeft(now time.Time, readRate float64) float64 {
-	return max(e.prompts-readRate*now.Sub(e.promptsAt).Seconds(), 0)
+// remainingPrefill returns the estimated number of pending prefill tokens of an engine that
+// prefills prefillRate tokens per second.
+func (e *endpoint) remainingPrefill(now time.Time, prefillRate float64) float64 {
+	return max(e.estimatedPrefill-prefillRate*now.Sub(e.estimatedAt).Seconds(), 0)
 }
 
-// sent counts a prompt that was sent to the engine; without a rate nothing would ever
-// be taken off again.
-func (e *endpoint) sent(now time.Time, tokens int, readRate float64) {
-	if readRate <= 0 {
+// recordPromptSent counts a prompt that was sent to the engine. Without a prefill rate it
+// does nothing, since the count would never decrease.
+func (e *endpoint) recordPromptSent(now time.Time, tokens int, prefillRate float64) {
+	if prefillRate <= 0 {
 		return
 	}
-	e.prompts = e.promptsLeft(now, readRate) + float64(tokens)
-	e.promptsAt = now
-	e.sentTotal += float64(tokens)
+	e.estimatedPrefill = e.remainingPrefill(now, prefillRate) + float64(tokens)
+	e.estimatedAt = now
+	e.promptTokensSent += float64(tokens)
 }
 
-// readUpTo records that the engine has read all that it was sent up to a mark. So an
-// engine that reads faster than ReadRate isn't taken to be busy for longer than until it
-// begins with an answer.
-func (e *endpoint) readUpTo(now time.Time, mark, readRate float64) {
-	e.prompts = min(e.promptsLeft(now, readRate), max(e.sentTotal-mark, 0))
-	e.promptsAt = now
+// recordPrefilledUpTo records that the engine has prefilled the first sentUpTo of
+// promptTokensSent tokens. An engine that prefills faster than the assumed rate therefore
+// doesn't count as busy after it has begun to answer.
+func (e *endpoint) recordPrefilledUpTo(now time.Time, sentUpTo, prefillRate float64) {
+	e.estimatedPrefill = min(e.remainingPrefill(now, prefillRate), max(e.promptTokensSent-sentUpTo, 0))
+	e.estimatedAt = now
 }
 
-// top gives the most that own work, the others' and one more request are
-// projected to hold at any horizon, with a margin.
-func (e *endpoint) top(p *lengths.Projection, others *lengths.Profile, extra, margin float64) float64 {
-	top := 0.0
+// peakProjection returns the highest memory in tokens, over all horizons, that the entry's
+// own load, the peers' load and one more request are projected to use, plus a margin.
+func (e *endpoint) peakProjection(p *lengths.Projection, peerLoad *lengths.Profile, unattributed, marginStdDevs float64) float64 {
+	peak := 0.0
 	for i := range p.Mean {
-		mean := e.own.Mean[i] + others[i] + p.Mean[i] + extra
-		variance := max(e.own.Variance[i]+p.Variance[i], 0)
-		top = max(top, mean+margin*math.Sqrt(variance))
+		mean := e.ownProjection.Mean[i] + peerLoad[i] + p.Mean[i] + unattributed
+		variance := max(e.ownProjection.Variance[i]+p.Variance[i], 0)
+		peak = max(peak, mean+marginStdDevs*math.Sqrt(variance))
 	}
-	return top
+	return peak
 }
 
-// ownFill gives the projected use by this entry's own work with one more
-// request, as a share of this entry's part; it is infinite without a part.
-// The margin of an endpoint grows with the root of the number of parts, and is
-// split among them.
-func (e *endpoint) ownFill(p *lengths.Projection, urgent bool, r room) float64 {
-	if e.parts == 0 {
+// partitionUtilization returns the projected utilization of this entry's partition by its
+// own load with one more request; it is infinite if the entry has no partition.
+// The margin for the whole endpoint grows with the square root of the number of partitions
+// and is split among them.
+func (e *endpoint) partitionUtilization(p *lengths.Projection, urgent bool, r fitParams) float64 {
+	if e.homeEntries == 0 {
 		return math.Inf(1)
 	}
-	part := float64(e.spec.CapacityTokens) / float64(e.parts)
+	partition := float64(e.spec.CapacityTokens) / float64(e.homeEntries)
 	if !urgent {
-		part *= 1 - r.held
+		partition *= 1 - r.urgentReserve
 	}
-	margin := r.margin / math.Sqrt(float64(e.parts))
-	return e.top(p, &lengths.Profile{}, 0, margin) / part
+	marginStdDevs := r.marginStdDevs / math.Sqrt(float64(e.homeEntries))
+	return e.peakProjection(p, &lengths.Profile{}, 0, marginStdDevs) / partition
 }
 
-// observe takes a report. What it shows above all known work is believed for
-// a while: it is the work of entries that are gone or were not heard of.
-func (e *endpoint) observe(r Report) {
+// observeReport records a report. Load above that of all known entries counts for a while
+// as unattributed: it comes from entries that have ended or that haven't sent their shares.
+func (e *endpoint) observeReport(r Report) {
 	if !r.At.After(e.report.At) {
 		return
 	}
 	e.report = r
-	e.unexplained = max(float64(r.UsedTokens)-e.own.Mean[0]-e.peers[0], 0)
+	e.unattributedTokens = max(float64(r.UsedTokens)-e.ownProjection.Mean[0]-e.peerLoad[0], 0)
 }
 
-// freshFor is how long a report is good enough to send work to another data
-// centre by.
-const freshFor = 5 * time.Second
+// maxSpilloverReportAge is the maximum age of a report on which requests are sent to
+// another data centre.
+const maxSpilloverReportAge = 5 * time.Second
 
-func (e *endpoint) fresh(now time.Time) bool {
-	return e.spec.CapacityTokens == 0 || now.Sub(e.report.At) <= freshFor
+// hasFreshReport reports whether the last report is recent enough to send requests from
+// another data centre. Plain services don't report their load, so they always qualify.
+func (e *endpoint) hasFreshReport(now time.Time) bool {
+	return e.spec.CapacityTokens == 0 || now.Sub(e.report.At) <= maxSpilloverReportAge
 }
 
-// sharers is among how many entries the room that a report shows is split, where
-// nobody has a part. All that read the report see the same room.
-const sharers = 3
+// assumedSharers is the number of entries assumed to share the free capacity that a report
+// shows where no entry has a partition. All entries with that report see the same free
+// capacity.
+const assumedSharers = 3
 
-// shared gives the fill up to which this entry may go on its own, if the last
-// report left room below a limit.
-func (e *endpoint) shared(limit float64) float64 {
+// sharedUtilizationLimit returns the utilization up to which this entry may load the
+// endpoint, given the free capacity that the last report shows below limit.
+func (e *endpoint) sharedUtilizationLimit(limit float64) float64 {
 	if e.spec.CapacityTokens == 0 {
 		return limit
 	}
 	reported := float64(e.report.UsedTokens) / float64(e.spec.CapacityTokens)
-	return reported + (limit-reported)/sharers
+	return reported + (limit-reported)/assumedSharers
 }
 
-// observePeers takes a report as the sum of all entries' work. What isn't this
-// entry's own is the others', and is projected to grow as the own work is.
-func (e *endpoint) observePeers(r Report) {
+// observeReportAsPeerLoad records a report as the sum of all entries' load. Load that isn't
+// this entry's own is peer load, and is projected to grow like the entry's own load.
+func (e *endpoint) observeReportAsPeerLoad(r Report) {
 	if !r.At.After(e.report.At) {
 		return
 	}
 	e.report = r
-	held := max(float64(r.UsedTokens)-e.own.Mean[0], 0)
-	for i := range e.peers {
-		e.peers[i] = held * e.growth(i)
+	peerTokens := max(float64(r.UsedTokens)-e.ownProjection.Mean[0], 0)
+	for i := range e.peerLoad {
+		e.peerLoad[i] = peerTokens * e.projectedGrowth(i)
 	}
 	e.peersRunning = max(r.Running+r.Waiting-e.ownRunning, 0)
 }
 
-// assumedGrowth is the projected growth while there is no own work to go by.
+// assumedGrowth is the growth factor of load up to a later horizon while the entry has no
+// load of its own to derive it from.
 const assumedGrowth = 1.1
 
-func (e *endpoint) growth(horizon int) float64 {
+// projectedGrowth returns the factor by which the entry's own load is projected to grow
+// from now to a horizon.
+func (e *endpoint) projectedGrowth(horizon int) float64 {
 	if horizon == 0 {
 		return 1
 	}
-	if e.own.Mean[0] <= 0 {
+	if e.ownProjection.Mean[0] <= 0 {
 		return assumedGrowth
 	}
-	return e.own.Mean[horizon] / e.own.Mean[0]
+	return e.ownProjection.Mean[horizon] / e.ownProjection.Mean[0]
 }
 
-// extra returns the load that no share accounts for.
-func (e *endpoint) extra(now time.Time) float64 {
+// unattributedLoad returns the reported load in tokens that no entry accounts for; it
+// decreases linearly to zero within unattributedLoadTTL.
+func (e *endpoint) unattributedLoad(now time.Time) float64 {
 	age := now.Sub(e.report.At)
-	if e.unexplained == 0 || age > unexplainedFor {
+	if e.unattributedTokens == 0 || age > unattributedLoadTTL {
 		return 0
 	}
-	return e.unexplained * (1 - float64(age)/float64(unexplainedFor))
+	return e.unattributedTokens * (1 - float64(age)/float64(unattributedLoadTTL))
 }
 
-func (e *endpoint) observeGap(gap time.Duration) {
-	s := gap.Seconds()
-	if e.gap == 0 {
-		e.gap = s
+// observeTokenGap adds a time between two tokens to the moving average.
+func (e *endpoint) observeTokenGap(gap time.Duration) {
+	seconds := gap.Seconds()
+	if e.tokenGap == 0 {
+		e.tokenGap = seconds
 		return
 	}
-	e.gap += gapSmoothing * (s - e.gap)
+	e.tokenGap += tokenGapSmoothing * (seconds - e.tokenGap)
 }
--- a/pkg/scheduler/forwarding_test.go
+++ b/pkg/scheduler/forwarding_test.go
@@ -14,23 +14,27 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
+// engine returns a live engine without load.
 func engine(id, dataCenter string) fleet.Endpoint {
 	return fleet.Endpoint{ID: id, Type: fleet.Engine, DataCenter: dataCenter, Targets: []string{"m"}, Incarnation: 1,
 		State: fleet.Live, CapacityTokens: 34000, MaxRunning: 24}
 }
 
-func forwarding(dataCenter string, seed uint64) *scheduler.Scheduler {
+// newForwardingScheduler returns a scheduler with the configuration of the Forwarding version.
+func newForwardingScheduler(dataCenter string, seed uint64) *scheduler.Scheduler {
 	cfg := scheduler.Version(scheduler.Forwarding)
 	cfg.DataCenter = dataCenter
 	cfg.Rand = rand.New(rand.NewPCG(seed, seed))
 	return scheduler.New(cfg)
 }
 
+// service returns a live plain service.
 func service(id, dataCenter string) fleet.Endpoint {
 	return fleet.Endpoint{ID: id, Type: fleet.Service, DataCenter: dataCenter, Targets: []string{"desk"}, Incarnation: 1,
 		State: fleet.Live, MaxRunning: 6}
 }
 
+// plainRequest returns a request for a plain service.
 func plainRequest(id int, now time.Time) scheduler.Request {
 	return scheduler.Request{
 		ID: scheduler.ID(id), Kind: "plain", Arrived: now,
@@ -38,6 +42,7 @@
 	}
 }
 
+// longRequest returns a request with a long prompt that isn't urgent.
 func longRequest(id int, now time.Time) scheduler.Request {
 	return scheduler.Request{
 		ID: scheduler.ID(id), Kind: "k", PromptTokens: 3000, MaxTokens: 1000, Arrived: now,
@@ -45,10 +50,10 @@
 	}
 }
 
-// TestEntriesDoNotAllTakeTheNewEndpoint: nine entries that know the load of all
-// endpoints but one, which has just begun, don't all send there. (When they
-// did, 42 of 171 answers were late.)
-func TestEntriesDoNotAllTakeTheNewEndpoint(t *testing.T) {
+// TestEntriesDoNotAllChooseNewEndpoint checks that nine entries that have load reports of all
+// endpoints but a newly started one don't all send there. When they do, 42 of 171 answers are
+// late.
+func TestEntriesDoNotAllChooseNewEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	var endpoints []fleet.Endpoint
@@ -56,89 +61,89 @@
 		endpoints = append(endpoints, engine(fmt.Sprintf("e%d", i), fmt.Sprintf("dc%d", i%3)))
 	}
 	endpoints = append(endpoints, engine("new", "dc0"))
-	got := map[string]int{}
+	sentTo := map[string]int{}
 	const entries = 9
 	for n := range entries {
-		s := forwarding(fmt.Sprintf("dc%d", n%3), uint64(n))
+		s := newForwardingScheduler(fmt.Sprintf("dc%d", n%3), uint64(n))
 		s.SetEndpoints(now, endpoints)
 		for _, e := range endpoints[:12] {
 			s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, At: now, UsedTokens: 14000, CapacityTokens: 34000})
 		}
 		g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 		for _, d := range s.Next(now).Dispatches {
-			got[d.Endpoint.ID]++
+			sentTo[d.Endpoint.ID]++
 		}
 	}
-	sum := 0
-	for _, n := range got {
-		sum += n
+	total := 0
+	for _, n := range sentTo {
+		total += n
 	}
-	g.Expect(sum).To(Equal(entries))
-	g.Expect(got["new"]).To(BeNumerically("<=", entries/2))
+	g.Expect(total).To(Equal(entries))
+	g.Expect(sentTo["new"]).To(BeNumerically("<=", entries/2))
 }
 
-// TestUnreadPromptsTurnRequestsAway: an endpoint that still reads prompts of this
-// entry gets the next one last.
-func TestUnreadPromptsTurnRequestsAway(t *testing.T) {
+// TestOwnPendingPrefillIsAvoided checks that an engine that has yet to prefill prompts of this
+// entry gets the next prompt last.
+func TestOwnPendingPrefillIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")})
-	got := map[string]int{}
+	sentTo := map[string]int{}
 	for i := range 6 {
 		g.Expect(s.Submit(now, longRequest(i+1, now))).To(BeNil())
 		for _, d := range s.Next(now).Dispatches {
-			got[d.Endpoint.ID]++
+			sentTo[d.Endpoint.ID]++
 		}
 	}
-	g.Expect(got).To(Equal(map[string]int{"a": 3, "b": 3}))
+	g.Expect(sentTo).To(Equal(map[string]int{"a": 3, "b": 3}))
 }
 
-// TestPromptsOfOthersTurnRequestsAway: an endpoint that others have just sent prompts
-// to gets none until it has read them, however long that takes. (Untold, every tenth long
-// answer of 62 and 85 entries began late.) One whose reading nobody tells of counts for
-// 8 s.
-func TestPromptsOfOthersTurnRequestsAway(t *testing.T) {
+// TestPeerPendingPrefillIsAvoided checks that an engine that peers have just sent prompts to
+// gets none until it has prefilled them, however long that takes. Without the notices, every
+// tenth long answer in fleets of 62 and 85 entries begins late. A prompt whose prefill no
+// peer reports expires after 8 s.
+func TestPeerPendingPrefillIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	got := func(after time.Duration, read bool) map[string]int {
-		s := forwarding("dc0", 1)
+	sends := func(delay time.Duration, prefilled bool) map[string]int {
+		s := newForwardingScheduler("dc0", 1)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")})
 		for range 4 {
 			s.PromptSent(now, "a", 3000)
 		}
 		for range 4 {
-			if read {
-				s.PromptRead(now.Add(after), "a", 3000)
+			if prefilled {
+				s.PromptRead(now.Add(delay), "a", 3000)
 			}
 		}
-		out := map[string]int{}
+		sentTo := map[string]int{}
 		for i := range 4 {
-			g.Expect(s.Submit(now.Add(after), longRequest(i+1, now.Add(after)))).To(BeNil())
-			for _, d := range s.Next(now.Add(after)).Dispatches {
-				out[d.Endpoint.ID]++
+			g.Expect(s.Submit(now.Add(delay), longRequest(i+1, now.Add(delay)))).To(BeNil())
+			for _, d := range s.Next(now.Add(delay)).Dispatches {
+				sentTo[d.Endpoint.ID]++
 			}
 		}
-		return out
+		return sentTo
 	}
 	even := map[string]int{"a": 2, "b": 2}
-	g.Expect(got(0, false)["b"]).To(BeNumerically(">=", 3))
-	g.Expect(got(3*time.Second, false)["b"]).To(BeNumerically(">=", 3), "nobody has said that they were read")
-	g.Expect(got(100*time.Millisecond, true)).To(Equal(even))
-	g.Expect(got(9*time.Second, false)).To(Equal(even))
+	g.Expect(sends(0, false)["b"]).To(BeNumerically(">=", 3))
+	g.Expect(sends(3*time.Second, false)["b"]).To(BeNumerically(">=", 3), "no peer has reported the prefill")
+	g.Expect(sends(100*time.Millisecond, true)).To(Equal(even))
+	g.Expect(sends(9*time.Second, false)).To(Equal(even))
 }
 
-// TestAnUnreachableEndpointIsAvoidedAtOnce: one connection that can't be had is
-// enough.
-func TestAnUnreachableEndpointIsAvoidedAtOnce(t *testing.T) {
+// TestUnreachableEndpointIsAvoidedAtOnce checks that a single failed connection opens the
+// breaker of an endpoint.
+func TestUnreachableEndpointIsAvoidedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc1")})
 	g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 	first := s.Next(now).Dispatches
 	g.Expect(first).To(HaveLen(1))
-	g.Expect(first[0].Endpoint.ID).To(Equal("a"), "the own data centre is preferred")
+	g.Expect(first[0].Endpoint.ID).To(Equal("a"), "the entry's own data centre is preferred")
 	s.Finish(now, 1, scheduler.Result{Failed: true, Unreachable: true})
 	for i := range 4 {
 		g.Expect(s.Submit(now, longRequest(i+2, now))).To(BeNil())
@@ -148,13 +153,12 @@
 	}
 }
 
-// TestACutDataCentreIsAvoidedAsAWhole: after two endpoints of a data centre could not
-// be reached in a row, the others there get nothing but single probes, until one
-// answers.
-func TestACutDataCentreIsAvoidedAsAWhole(t *testing.T) {
+// TestUnreachableDataCenterIsAvoided checks that after two endpoints of a data centre in a row
+// could not be reached, its other endpoints get only single probes until one answers.
+func TestUnreachableDataCenterIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	endpoints := []fleet.Endpoint{service("near", "dc0")}
 	for i := range 6 {
 		endpoints = append(endpoints, service(fmt.Sprintf("far%d", i), "dc1"))
@@ -164,9 +168,9 @@
 	send := func() string {
 		id++
 		g.Expect(s.Submit(now, plainRequest(id, now))).To(BeNil())
-		sent := s.Next(now).Dispatches
-		g.Expect(sent).To(HaveLen(1))
-		return sent[0].Endpoint.ID
+		dispatches := s.Next(now).Dispatches
+		g.Expect(dispatches).To(HaveLen(1))
+		return dispatches[0].Endpoint.ID
 	}
 	s.SetLeaving("near", true)
 	for range 2 {
@@ -178,7 +182,7 @@
 		g.Expect(send()).To(Equal("near"))
 		s.Finish(now, scheduler.ID(id), scheduler.Result{Complete: true})
 	}
-	// Probes go out one at a time; an answer opens the data centre again.
+	// Probes are sent one at a time; an answer closes the breaker of the data centre.
 	g.Expect(s.Reach()).To(Equal(scheduler.Reach{Lost: []string{"dc1"}, CutOff: true}))
 	now = now.Add(time.Minute)
 	s.SetLeaving("near", true)
@@ -186,17 +190,18 @@
 	probe := scheduler.ID(id)
 	id++
 	g.Expect(s.Submit(now, plainRequest(id, now))).To(BeNil())
-	g.Expect(s.Next(now).Dispatches).To(BeEmpty(), "a second probe has to wait for the first")
+	g.Expect(s.Next(now).Dispatches).To(BeEmpty(), "the second probe waits for the first one")
 	s.Finish(now, probe, scheduler.Result{Complete: true})
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 	g.Expect(s.Reach()).To(Equal(scheduler.Reach{}))
 }
 
-// TestATargetWithoutEndpointsIsNotOutOfReach: nobody else serves it either.
-func TestATargetWithoutEndpointsIsNotOutOfReach(t *testing.T) {
+// TestTargetWithoutEndpointsIsNotOutOfReach checks that a target without any endpoint doesn't
+// count as out of reach, since no other entry can serve it either.
+func TestTargetWithoutEndpointsIsNotOutOfReach(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{service("far", "dc1")})
 	g.Expect(s.OutOfReach("desk")).To(BeFalse())
 	g.Expect(s.Submit(now, plainRequest(1, now))).To(BeNil())
@@ -206,12 +211,12 @@
 	g.Expect(s.OutOfReach("nowhere")).To(BeFalse())
 }
 
-// TestTheFirstTokenEndsAProbe: a long answer shows with its first token that its endpoint
-// and its data centre are back; others don't wait for its end.
-func TestTheFirstTokenEndsAProbe(t *testing.T) {
+// TestFirstTokenEndsProbe checks that the first token of a probe closes the breakers of its
+// endpoint and data centre, so that other requests don't wait for the end of a long answer.
+func TestFirstTokenEndsProbe(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc1")})
 	g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
@@ -225,13 +230,13 @@
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 }
 
-// TestWhatNoEndpointCanServeIsRefusedAtOnce: once a probe has failed, requests are
-// refused without a wait, as not run and with the time of the next probe; those that
+// TestUnservableRequestsAreRefusedAtOnce checks that once a probe has failed, requests are
+// refused at once, as not run and with the time until the next probe, and that those that
 // waited for the probe are refused with it.
-func TestWhatNoEndpointCanServeIsRefusedAtOnce(t *testing.T) {
+func TestUnservableRequestsAreRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{service("near", "dc0"), service("far", "dc1")})
 	s.SetLeaving("near", true)
 	unreachable := func(id int) {
@@ -240,10 +245,10 @@
 		s.Finish(now, scheduler.ID(id), scheduler.Result{Failed: true, Unreachable: true})
 	}
 	unreachable(1)
-	g.Expect(s.Submit(now, plainRequest(2, now))).To(BeNil(), "the first failure may be a matter of moments")
+	g.Expect(s.Submit(now, plainRequest(2, now))).To(BeNil(), "the first failure may be transient")
 	g.Expect(s.Next(now).Refusals).To(BeEmpty())
 	now = now.Add(600 * time.Millisecond)
-	g.Expect(s.Next(now).Dispatches).To(HaveLen(1), "the waiting one is the probe")
+	g.Expect(s.Next(now).Dispatches).To(HaveLen(1), "the waiting request is the probe")
 	g.Expect(s.Submit(now, plainRequest(3, now))).To(BeNil())
 	s.Finish(now, 2, scheduler.Result{Failed: true, Unreachable: true})
 	refused := s.Next(now).Refusals
@@ -252,18 +257,18 @@
 	err := s.Submit(now, plainRequest(4, now))
 	g.Expect(err).NotTo(BeNil())
 	g.Expect(err.Outcome).To(Equal(outcome.NotRun))
-	g.Expect(err.RetryAfter).To(BeNumerically("~", time.Second, 300*time.Millisecond), "the next probe is a second away")
+	g.Expect(err.RetryAfter).To(BeNumerically("~", time.Second, 300*time.Millisecond), "the next probe is due in one second")
 }
 
-// TestWaitingLeavesTimeToRun: a request waits as long as it can still be answered, and no
-// longer: with a timeout of 1 s and runs of 300 ms, 700 ms.
-func TestWaitingLeavesTimeToRun(t *testing.T) {
+// TestQueueTimeLeavesTimeToRun checks that a request waits no longer than it can still be
+// answered in time: with a timeout of 1 s and runs of 300 ms, it waits for 700 ms.
+func TestQueueTimeLeavesTimeToRun(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
-	one := service("near", "dc0")
-	one.MaxRunning = 1
-	s.SetEndpoints(now, []fleet.Endpoint{one})
+	s := newForwardingScheduler("dc0", 1)
+	endpoint := service("near", "dc0")
+	endpoint.MaxRunning = 1
+	s.SetEndpoints(now, []fleet.Endpoint{endpoint})
 	for id := range 3 {
 		g.Expect(s.Submit(now, plainRequest(id+1, now))).To(BeNil())
 		g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
@@ -279,11 +284,12 @@
 	g.Expect(s.Next(now).Refusals).To(HaveLen(1))
 }
 
-// TestAMovedGenerationCountsWhereItIs keeps the believed load true.
-func TestAMovedGenerationCountsWhereItIs(t *testing.T) {
+// TestMovedGenerationCountsAtNewEndpoint checks that the load of a moved generation counts at
+// its new endpoint only, and at neither after its end.
+func TestMovedGenerationCountsAtNewEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")})
 	g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 	from := s.Next(now).Dispatches[0].Endpoint.ID
@@ -304,13 +310,13 @@
 	}
 }
 
-// TestSlowTokensRefuseNobody: long gaps, such as those of moves, don't make an
-// entry refuse requests that may well end in time. (One was refused because
-// "about 1m14s are needed, 39s are left".)
-func TestSlowTokensRefuseNobody(t *testing.T) {
+// TestSlowTokensCauseNoRefusals checks that long gaps between tokens, such as those of moves,
+// don't cause refusals of requests that can end in time. The estimate from such gaps refuses
+// a request with "about 1m14s are needed, 39s are left".
+func TestSlowTokensCauseNoRefusals(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
 	g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
@@ -324,33 +330,33 @@
 	g.Expect(actions.Dispatches).To(HaveLen(1))
 }
 
-// TestFewerChoicesSpreadWider: entries with the same late news of many endpoints
-// spread over more of them if each decision compares fewer.
-func TestFewerChoicesSpreadWider(t *testing.T) {
+// TestSmallerSamplesSpreadRequests checks that entries with the same stale reports of many
+// endpoints spread their requests more widely the fewer endpoints a decision compares.
+func TestSmallerSamplesSpreadRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	var endpoints []fleet.Endpoint
 	for i := range 15 {
 		endpoints = append(endpoints, engine(fmt.Sprintf("e%d", i), "dc0"))
 	}
-	most := func(choices int) int {
-		got := map[string]int{}
-		top := 0
+	maxPerEndpoint := func(sampleSize int) int {
+		sentTo := map[string]int{}
+		maxSends := 0
 		for n := range 60 {
-			s := forwarding("dc0", uint64(n))
-			s.SetChoices(choices, 1)
+			s := newForwardingScheduler("dc0", uint64(n))
+			s.SetChoices(sampleSize, 1)
 			s.SetEndpoints(now, endpoints)
 			for i, e := range endpoints {
 				s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, At: now, UsedTokens: 1500 * i, CapacityTokens: 34000})
 			}
 			g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 			for _, d := range s.Next(now).Dispatches {
-				got[d.Endpoint.ID]++
-				top = max(top, got[d.Endpoint.ID])
+				sentTo[d.Endpoint.ID]++
+				maxSends = max(maxSends, sentTo[d.Endpoint.ID])
 			}
 		}
-		return top
+		return maxSends
 	}
-	g.Expect(most(1)).To(BeNumerically("<", most(2)))
-	g.Expect(most(2)).To(BeNumerically("<", most(8)))
+	g.Expect(maxPerEndpoint(1)).To(BeNumerically("<", maxPerEndpoint(2)))
+	g.Expect(maxPerEndpoint(2)).To(BeNumerically("<", maxPerEndpoint(8)))
 }
--- a/pkg/scheduler/inflow.go
+++ b/pkg/scheduler/inflow.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// inflowMemory is over what time the prompts that come are counted: long enough for a
-// few prompts an engine, short enough to follow a burst of some seconds.
-const inflowMemory = time.Second
+// inflowTimeConstant is the time constant of the exponential decay of prompt counts: long
+// enough to cover a few prompts per engine, short enough to follow a burst of some seconds.
+const inflowTimeConstant = time.Second
 
-// mostUrgent bounds the share of an engine's reading that urgent prompts are taken to
-// need; above it hardly anything is known of the rest.
-const mostUrgent = 0.75
+// maxUrgentShare bounds the fraction of an engine's prefill rate that urgent prompts are
+// assumed to use; above it the estimate of the remaining rate is unreliable.
+const maxUrgentShare = 0.75
 
-// inflow counts the prompt tokens that come for a target, decaying.
+// inflow holds exponentially decaying counts of the prompt tokens for a target.
 type inflow struct {
-	at time.Time
-	// seen are the tokens that went to engines of the own data centre, from this entry
-	// or another that told of them.
-	seen float64
-	// own and ownUrgent are those of this entry, wherever they went.
-	own       float64
-	ownUrgent float64
+	updatedAt time.Time
+	// localTokens went to engines of the entry's own data centre, from this entry or
+	// announced by a peer.
+	localTokens float64
+	// ownTokens and ownUrgentTokens are those of this entry, to any data centre.
+	ownTokens       float64
+	ownUrgentTokens float64
 }
 
 func (f *inflow) decay(now time.Time) {
-	if f.at.IsZero() {
-		f.at = now
+	if f.updatedAt.IsZero() {
+		f.updatedAt = now
 	}
-	keep := math.Exp(-float64(now.Sub(f.at)) / float64(inflowMemory))
-	f.seen *= keep
-	f.own *= keep
-	f.ownUrgent *= keep
-	f.at = now
+	decayFactor := math.Exp(-float64(now.Sub(f.updatedAt)) / float64(inflowTimeConstant))
+	f.localTokens *= decayFactor
+	f.ownTokens *= decayFactor
+	f.ownUrgentTokens *= decayFactor
+	f.updatedAt = now
 }
 
-// urgentRate is how many tokens of urgent prompts an engine gets a second: the others'
-// prompts are taken to be urgent as often as the own ones.
-func (f *inflow) urgentRate(now time.Time, engines int) float64 {
+// urgentTokenRate returns how many tokens of urgent prompts an engine gets per second. The
+// urgent fraction of the peers' prompts is assumed to be that of this entry's.
+func (f *inflow) urgentTokenRate(now time.Time, engines int) float64 {
 	f.decay(now)
-	if f.own <= 0 || engines == 0 {
+	if f.ownTokens <= 0 || engines == 0 {
 		return 0
 	}
-	perEngine := f.seen / inflowMemory.Seconds() / float64(engines)
-	return perEngine * f.ownUrgent / f.own
+	perEngine := f.localTokens / inflowTimeConstant.Seconds() / float64(engines)
+	return perEngine * f.ownUrgentTokens / f.ownTokens
 }
 
-// countPrompt counts a prompt that goes to an engine.
-func (s *Scheduler) countPrompt(now time.Time, e *endpoint, tokens int) *inflow {
+// countPromptTokens counts a prompt sent to an engine by any entry.
+func (s *Scheduler) countPromptTokens(now time.Time, e *endpoint, tokens int) *inflow {
 	f := &s.queue(e.spec.Targets[0]).inflow
 	f.decay(now)
 	if e.spec.DataCenter == s.cfg.DataCenter {
-		f.seen += float64(tokens)
+		f.localTokens += float64(tokens)
 	}
 	return f
 }
 
-// countOwnPrompt counts a prompt that this entry sends.
-func (s *Scheduler) countOwnPrompt(now time.Time, e *endpoint, it *item) {
-	f := s.countPrompt(now, e, it.req.PromptTokens)
-	f.own += float64(it.req.PromptTokens)
+// countOwnPromptTokens counts a prompt sent by this entry.
+func (s *Scheduler) countOwnPromptTokens(now time.Time, e *endpoint, it *item) {
+	f := s.countPromptTokens(now, e, it.req.PromptTokens)
+	f.ownTokens += float64(it.req.PromptTokens)
 	if it.req.Urgent() {
-		f.ownUrgent += float64(it.req.PromptTokens)
+		f.ownUrgentTokens += float64(it.req.PromptTokens)
 	}
 }
 
-// spareRate is how many tokens a second an engine of a target reads of prompts that aren't
-// urgent, beside the urgent ones that keep coming; of all prompts where they are read in turn.
-func (s *Scheduler) spareRate(now time.Time, target string) float64 {
+// availablePrefillRate returns how many tokens per second of prompts that aren't urgent an
+// engine of a target prefills beside the urgent prompts that keep coming; of all prompts
+// where engines prefill in order of arrival.
+func (s *Scheduler) availablePrefillRate(now time.Time, target string) float64 {
 	rate := s.readRate(target)
-	if s.cfg.ReadInTurn {
+	if s.cfg.FIFOPrefill {
 		return s.queue(target).paced(rate, rate)
 	}
 	t := s.target(target)
 	engines := len(t.homes) + len(t.local)
-	urgent := s.queue(target).inflow.urgentRate(now, engines)
-	return s.queue(target).paced(rate-min(urgent, mostUrgent*rate), rate)
+	urgentRate := s.queue(target).inflow.urgentTokenRate(now, engines)
+	return s.queue(target).paced(rate-min(urgentRate, maxUrgentShare*rate), rate)
 }
--- /dev/null
+++ b/pkg/scheduler/isolation.go
@@ -0,0 +1,98 @@
+package scheduler
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
+)
+
+// This file isolates requests that are suspected of crashing engines. When several requests
+// crash the engines that run them, a harmless request that many callers make also runs in
+// every engine that crashes. While suspects run beside each other, a crash can't be
+// attributed to one of them, so each suspect gets an endpoint of its own until it completes
+// there or crashes it. All other requests avoid that endpoint as long as another one can
+// take them: a request that hasn't crashed an engine yet might crash the suspect's endpoint
+// and incriminate a harmless suspect.
+
+// SetIsolatedRequests replaces the set of requests to isolate.
+func (s *Scheduler) SetIsolatedRequests(requests []quarantine.KeptApart) {
+	if len(requests) == 0 && len(s.apart) == 0 {
+		return
+	}
+	s.apart = requests
+	s.resetIsolation()
+}
+
+// resetIsolation discards the assignments, so that the endpoints of isolated requests are
+// chosen again.
+func (s *Scheduler) resetIsolation() {
+	for _, t := range s.targets {
+		t.apart = nil
+	}
+}
+
+// isolationAssignment holds the endpoints of a target at which isolated requests run.
+type isolationAssignment struct {
+	byIdentity map[quarantine.Identity]*endpoint
+	// avoided are the endpoints that all other requests avoid.
+	avoided map[*endpoint]bool
+}
+
+// isolationFor assigns the isolated requests to the endpoints of a target that aren't
+// leaving. The assignment depends on the names of the endpoints only, so all entries choose
+// the same.
+func (s *Scheduler) isolationFor(targetName string) *isolationAssignment {
+	t := s.target(targetName)
+	if t.apart != nil {
+		return t.apart
+	}
+	endpoints := slices.SortedFunc(s.staying(targetName), func(a, b *endpoint) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+	names := make([]string, len(endpoints))
+	for i, e := range endpoints {
+		names[i] = e.spec.ID
+	}
+	t.apart = &isolationAssignment{byIdentity: map[quarantine.Identity]*endpoint{}, avoided: map[*endpoint]bool{}}
+	assigned := quarantine.Assign(s.apart, names)
+	for _, r := range s.apart {
+		if i, ok := assigned[r.Identity]; ok {
+			t.apart.byIdentity[r.Identity] = endpoints[i]
+			t.apart.avoided[endpoints[i]] = t.apart.avoided[endpoints[i]] || r.Avoided
+		}
+	}
+	return t.apart
+}
+
+// isIsolated reports whether a request has an isolation endpoint that it may use.
+func (s *Scheduler) isIsolated(it *item) bool {
+	if len(s.apart) == 0 || it.req.Identity == nil {
+		return false
+	}
+	assigned, isolated := s.isolationFor(it.req.Row.Target).byIdentity[it.req.Identity()]
+	return isolated && it.req.mayServe(assigned)
+}
+
+// isolationEndpoint returns the endpoint assigned to an isolated request, or nil while that
+// endpoint can't take requests.
+func (s *Scheduler) isolationEndpoint(now time.Time, it *item) *endpoint {
+	assigned := s.isolationFor(it.req.Row.Target).byIdentity[it.req.Identity()]
+	if assigned.leaving || !s.takes(now, assigned) {
+		return nil
+	}
+	return assigned
+}
+
+// excludeIsolationEndpoints removes the endpoints that other requests avoid, if any other
+// endpoint of the target can take requests.
+func (s *Scheduler) excludeIsolationEndpoints(now time.Time, target string, endpoints []*endpoint) []*endpoint {
+	if len(s.apart) == 0 {
+		return endpoints
+	}
+	avoided := s.isolationFor(target).avoided
+	usable := func(e *endpoint) bool { return !avoided[e] && !e.leaving && s.allowed(now, e) }
+	if !s.any(target, usable) {
+		return endpoints
+	}
+	return slices.DeleteFunc(slices.Clone(endpoints), func(e *endpoint) bool { return avoided[e] })
+}
--- a/pkg/scheduler/mechanisms.go
+++ b/pkg/scheduler/mechanisms.go
@@ -7,77 +7,86 @@
 	"github.com/bridgehoist/bridgehoist/pkg/routing"
 )
 
-// Mechanism names a part of a policy that can be switched off, so that what it is worth
-// can be measured.
+// Mechanism names a part of a policy that can be disabled, so that experiments can measure
+// its effect.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// Near prefers endpoints of the own data centre.
-	Near Mechanism = "near"
-	// PromptBacklog prefers endpoints that have few prompts left to read.
-	PromptBacklog Mechanism = "prompt-backlog"
-	// FewChoices compares a few endpoints a decision instead of all.
-	FewChoices Mechanism = "few-choices"
-	// Breakers keep requests away from endpoints that fail.
+	// LocalPreference prefers endpoints of the entry's own data centre.
+	LocalPreference Mechanism = "near"
+	// BacklogPreference prefers endpoints with a small prefill backlog.
+	BacklogPreference Mechanism = "prompt-backlog"
+	// EndpointSampling compares a sample of the endpoints in each decision instead of all.
+	EndpointSampling Mechanism = "few-choices"
+	// Breakers keeps requests away from endpoints that fail.
 	Breakers Mechanism = "breakers"
-	// DataCenterBreakers do so for whole data centres.
+	// DataCenterBreakers keeps requests away from data centres that can't be reached.
 	DataCenterBreakers Mechanism = "data-center-breakers"
-	// UnservableRefusals refuse at once what no endpoint can serve.
+	// UnservableRefusals refuses requests at once that no endpoint can serve.
 	UnservableRefusals Mechanism = "unservable-refusals"
-	// DeadlineRefusals refuse at once what would wait too long.
+	// DeadlineRefusals refuses requests at once that would wait too long.
 	DeadlineRefusals Mechanism = "deadline-refusals"
-	// RemoteNews sends to engines of other data centres only by news of their load.
-	RemoteNews Mechanism = "remote-news"
-	// ReadNews counts what engines have still to read in place of estimating it.
-	ReadNews Mechanism = "read-news"
-	// ReadPace learns how fast prompts that aren't urgent get through.
-	ReadPace Mechanism = "read-pace"
-	// LearntLengths projects memory by the lengths of earlier outputs.
-	LearntLengths Mechanism = "learnt-lengths"
+	// RemoteLoadReports sends prompts to engines of other data centres only while their
+	// load is known.
+	RemoteLoadReports Mechanism = "remote-news"
+	// PrefillNotices counts pending prefill tokens from notices instead of estimating them.
+	PrefillNotices Mechanism = "read-news"
+	// EffectivePrefillRate learns the rate at which engines work off the prefill backlog
+	// before prompts that aren't urgent.
+	EffectivePrefillRate Mechanism = "read-pace"
+	// LearnedLengths projects memory from the lengths of earlier outputs.
+	LearnedLengths Mechanism = "learnt-lengths"
 )
 
-// allEndpoints is more than any fleet has.
-const allEndpoints = math.MaxInt32
+// unlimitedSampleSize exceeds the number of endpoints of any fleet.
+const unlimitedSampleSize = math.MaxInt32
 
-var switchOff = map[Mechanism]func(*Config){
-	Near:               func(c *Config) { c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.Near); return ok }) },
-	PromptBacklog:      func(c *Config) { c.dropScorer(func(s routing.Scorer) bool { _, ok := s.(routing.Prompt); return ok }) },
-	FewChoices:         func(c *Config) { c.CompareAll = true },
-	Breakers:           func(c *Config) { c.NoBreakers = true },
-	DataCenterBreakers: func(c *Config) { c.ReachByDataCenter = false },
-	UnservableRefusals: func(c *Config) { c.RefuseUnservable = false },
-	DeadlineRefusals:   func(c *Config) { c.KeepLate = true },
-	RemoteNews:         func(c *Config) { c.KnownRemotes = false },
-	ReadNews:           func(c *Config) { c.ToldReads = false },
-	ReadPace:           func(c *Config) { c.LearnPace = false },
-	LearntLengths:      func(c *Config) { c.ForgetLengths = true },
+// mechanismDisablers holds the configuration change that disables each mechanism.
+var mechanismDisablers = map[Mechanism]func(*Config){
+	LocalPreference: func(c *Config) { c.removeScorers(func(s routing.Scorer) bool { _, ok := s.(routing.Near); return ok }) },
+	BacklogPreference: func(c *Config) {
+		c.removeScorers(func(s routing.Scorer) bool { _, ok := s.(routing.Prompt); return ok })
+	},
+	EndpointSampling:     func(c *Config) { c.DisableSampling = true },
+	Breakers:             func(c *Config) { c.DisableBreakers = true },
+	DataCenterBreakers:   func(c *Config) { c.DataCenterBreakers = false },
+	UnservableRefusals:   func(c *Config) { c.RefuseUnservable = false },
+	DeadlineRefusals:     func(c *Config) { c.DisableDeadlineRefusals = true },
+	RemoteLoadReports:    func(c *Config) { c.RequireRemoteReports = false },
+	PrefillNotices:       func(c *Config) { c.PrefillFromNotices = false },
+	EffectivePrefillRate: func(c *Config) { c.LearnEffectivePrefillRate = false },
+	LearnedLengths:       func(c *Config) { c.DisableLengthLearning = true },
 }
 
-// Mechanisms lists the mechanisms by name.
+// Mechanisms returns all mechanisms, sorted by name.
 func Mechanisms() []Mechanism {
-	var out []Mechanism
-	for m := range switchOff {
-		out = append(out, m)
+	var names []Mechanism
+	for m := range mechanismDisablers {
+		names = append(names, m)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// Without switches mechanisms off; those of other packages are passed over.
-func (c Config) Without(off ...Mechanism) Config {
-	for _, m := range off {
-		if change := switchOff[m]; change != nil {
-			change(&c)
+// Disable returns a copy of the configuration with the given mechanisms disabled. Mechanisms
+// of other packages are ignored.
+func (c Config) Disable(mechanisms ...Mechanism) Config {
+	for _, m := range mechanisms {
+		if disable := mechanismDisablers[m]; disable != nil {
+			disable(&c)
 		}
 	}
 	return c
 }
 
-// isSpeed tells the scorer that prefers endpoints whose tokens come faster.
-func isSpeed(s routing.Scorer) bool { _, ok := s.(routing.Speed); return ok }
+// isSpeedScorer reports whether s is the scorer that prefers endpoints with a shorter time
+// between tokens.
+func isSpeedScorer(s routing.Scorer) bool { _, ok := s.(routing.Speed); return ok }
 
-func (c *Config) dropScorer(drop func(routing.Scorer) bool) {
-	isIt := func(w routing.Weighted) bool { return drop(w.Scorer) }
-	c.Pipeline.Scorers = slices.DeleteFunc(slices.Clone(c.Pipeline.Scorers), isIt)
+// removeScorers removes the matching scorers from a copy of the pipeline's scorers, which
+// other configurations may share.
+func (c *Config) removeScorers(matches func(routing.Scorer) bool) {
+	remove := func(w routing.Weighted) bool { return matches(w.Scorer) }
+	c.Pipeline.Scorers = slices.DeleteFunc(slices.Clone(c.Pipeline.Scorers), remove)
 }
--- a/pkg/scheduler/mechanisms_test.go
+++ b/pkg/scheduler/mechanisms_test.go
@@ -10,30 +10,30 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// TestMechanismsCanBeSwitchedOff: each leaves a policy that still sends requests, and
-// the version that it was taken from as it was.
-func TestMechanismsCanBeSwitchedOff(t *testing.T) {
+// TestDisabledMechanisms checks that a policy with any mechanism disabled still dispatches
+// requests, and that Disable doesn't change the original configuration.
+func TestDisabledMechanisms(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	whole := scheduler.Version(scheduler.Forwarding)
+	full := scheduler.Version(scheduler.Forwarding)
 	for _, m := range scheduler.Mechanisms() {
-		cfg := whole.Without(m)
+		cfg := full.Disable(m)
 		cfg.DataCenter = "dc0"
 		s := scheduler.New(cfg)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc1")})
 		g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil(), string(m))
 		g.Expect(s.Next(now).Dispatches).To(HaveLen(1), string(m))
 	}
-	g.Expect(whole.Pipeline.Scorers).To(HaveLen(3))
-	g.Expect(whole.Without("of another package").Pipeline).To(Equal(whole.Pipeline))
+	g.Expect(full.Pipeline.Scorers).To(HaveLen(3))
+	g.Expect(full.Disable("of another package").Pipeline).To(Equal(full.Pipeline))
 }
 
-// TestWithoutBreakersFailuresAreForgotten shows that a switch reaches its mechanism.
-func TestWithoutBreakersFailuresAreForgotten(t *testing.T) {
+// TestDisabledBreakersIgnoreFailures checks that disabling the breakers takes effect.
+func TestDisabledBreakersIgnoreFailures(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	for _, off := range []scheduler.Mechanism{"", scheduler.Breakers} {
-		cfg := scheduler.Version(scheduler.Forwarding).Without(off)
+	for _, disabled := range []scheduler.Mechanism{"", scheduler.Breakers} {
+		cfg := scheduler.Version(scheduler.Forwarding).Disable(disabled)
 		cfg.DataCenter = "dc0"
 		s := scheduler.New(cfg)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
@@ -41,6 +41,6 @@
 		g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 		s.Finish(now, 1, scheduler.Result{Failed: true, Unreachable: true})
 		g.Expect(s.Submit(now, longRequest(2, now))).To(BeNil())
-		g.Expect(s.Next(now).Dispatches).To(HaveLen(map[scheduler.Mechanism]int{"": 0, scheduler.Breakers: 1}[off]))
+		g.Expect(s.Next(now).Dispatches).To(HaveLen(map[scheduler.Mechanism]int{"": 0, scheduler.Breakers: 1}[disabled]))
 	}
 }
--- a/pkg/scheduler/pause_test.go
+++ b/pkg/scheduler/pause_test.go
@@ -11,53 +11,54 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// TestNothingGoesToAnEndpointThatWantsAPause, until it is over, while others serve; where all
-// want one, who can't wait for the first to be over is refused at once, with when that is.
-func TestNothingGoesToAnEndpointThatWantsAPause(t *testing.T) {
+// TestPausedEndpointsGetNoRequests checks that a paused endpoint gets no requests until its
+// pause ends, while others serve them. If all are paused, a request that can't wait for the
+// end of the first pause is refused at once with the time until then.
+func TestPausedEndpointsGetNoRequests(t *testing.T) {
 	g := NewWithT(t)
-	begin := time.Unix(1000, 0)
-	weary, other := service("weary", "dc0"), service("other", "dc0")
-	s := forwarding("dc0", 1)
-	s.SetEndpoints(begin, []fleet.Endpoint{weary, other})
-	serial := 0
-	// at sends one request and returns where it went, or why not.
-	at := func(now time.Time) (id string, err *outcome.Error) {
-		serial++
-		if err := s.Submit(now, plainRequest(serial, now)); err != nil {
+	start := time.Unix(1000, 0)
+	paused, other := service("paused", "dc0"), service("other", "dc0")
+	s := newForwardingScheduler("dc0", 1)
+	s.SetEndpoints(start, []fleet.Endpoint{paused, other})
+	lastID := 0
+	// send submits one request and returns the endpoint it went to, if any, or the refusal.
+	send := func(now time.Time) (id string, err *outcome.Error) {
+		lastID++
+		if err := s.Submit(now, plainRequest(lastID, now)); err != nil {
 			return "", err
 		}
-		done := s.Next(now)
-		for _, d := range done.Dispatches {
+		actions := s.Next(now)
+		for _, d := range actions.Dispatches {
 			s.Finish(now, d.ID, scheduler.Result{Complete: true})
 			id = d.Endpoint.ID
 		}
 		return id, nil
 	}
-	s.Backpressure().Pause(begin, weary.Life(), 3*time.Second)
+	s.Backpressure().Pause(start, paused.Life(), 3*time.Second)
 	for ms := range 2999 {
-		id, err := at(begin.Add(time.Duration(ms) * time.Millisecond))
+		id, err := send(start.Add(time.Duration(ms) * time.Millisecond))
 		g.Expect(err).To(BeNil())
 		g.Expect(id).To(Equal("other"), "after %d ms", ms)
 	}
 	used := map[string]bool{}
 	for ms := range 100 {
-		id, _ := at(begin.Add(3*time.Second + time.Duration(ms)*time.Millisecond))
+		id, _ := send(start.Add(3*time.Second + time.Duration(ms)*time.Millisecond))
 		used[id] = true
 	}
-	g.Expect(used).To(HaveKey("weary"), "and is used again")
+	g.Expect(used).To(HaveKey("paused"), "it is used again after the pause")
 
-	later := begin.Add(time.Minute)
-	s.Backpressure().Pause(later, weary.Life(), 5*time.Second)
+	later := start.Add(time.Minute)
+	s.Backpressure().Pause(later, paused.Life(), 5*time.Second)
 	s.Backpressure().Pause(later, other.Life(), 9*time.Second)
-	s.Backpressure().Pause(later, weary.Life(), time.Second)
-	_, err := at(later.Add(time.Second))
-	g.Expect(err).NotTo(BeNil(), "a shorter pause takes nothing off a longer one")
+	s.Backpressure().Pause(later, paused.Life(), time.Second)
+	_, err := send(later.Add(time.Second))
+	g.Expect(err).NotTo(BeNil(), "a shorter pause doesn't shorten a longer one")
 	g.Expect(err.Outcome).To(Equal(outcome.NotRun))
-	g.Expect(err.RetryAfter).To(BeNumerically("~", 4500*time.Millisecond, 510*time.Millisecond), "4 s, and up to a quarter more")
-	id, err := at(later.Add(4500 * time.Millisecond))
-	g.Expect(err).To(BeNil(), "it waits for half a second")
+	g.Expect(err.RetryAfter).To(BeNumerically("~", 4500*time.Millisecond, 510*time.Millisecond), "4 s plus a jitter of up to a quarter")
+	id, err := send(later.Add(4500 * time.Millisecond))
+	g.Expect(err).To(BeNil(), "the request waits for half a second")
 	g.Expect(id).To(BeEmpty())
-	sent := s.Next(later.Add(5 * time.Second)).Dispatches
-	g.Expect(sent).To(HaveLen(1))
-	g.Expect(sent[0].Endpoint.ID).To(Equal("weary"))
+	dispatches := s.Next(later.Add(5 * time.Second)).Dispatches
+	g.Expect(dispatches).To(HaveLen(1))
+	g.Expect(dispatches[0].Endpoint.ID).To(Equal("paused"))
 }
--- /dev/null
+++ b/pkg/scheduler/peerload.go
@@ -0,0 +1,57 @@
+package scheduler
+
+import "time"
+
+// This file estimates the peers' load at an engine. Several entries fill the same engines,
+// and a burst fills them within a second. An entry has its own load exactly; the peers' load
+// it derives from the engine's last report and the prompts that peers have announced since.
+// Load in a report counts in full until the next report, since most requests run for many
+// seconds.
+
+// reportLag is the age of a report on arrival. An engine makes the report some hundred
+// milliseconds before it answers; about half a second in total.
+const reportLag = 500 * time.Millisecond
+
+// peerPrompt is a prompt that a peer has announced as sent to an engine.
+type peerPrompt struct {
+	announcedAt time.Time
+	tokens      float64
+}
+
+// maxUnreportedPrompts bounds the announced prompts kept per engine: those of about a second.
+const maxUnreportedPrompts = 64
+
+// recordPeerPrompt adds a peer's prompt that no report shows yet to the peer load. The oldest
+// one is dropped beyond maxUnreportedPrompts.
+func (e *endpoint) recordPeerPrompt(now time.Time, tokens int) {
+	if len(e.unreportedPrompts) >= maxUnreportedPrompts {
+		e.unreportedPrompts = append(e.unreportedPrompts[:0], e.unreportedPrompts[1:]...)
+	}
+	e.unreportedPrompts = append(e.unreportedPrompts, peerPrompt{now, float64(tokens)})
+	for horizon := range e.peerLoad {
+		e.peerLoad[horizon] += float64(tokens)
+	}
+	e.peersRunning++
+}
+
+// observeReportWithNotices records a report. Load that isn't this entry's own is peer load,
+// to which the prompts are added that peers announced after the report was made.
+func (e *endpoint) observeReportWithNotices(r Report) {
+	if !r.At.After(e.report.At) {
+		return
+	}
+	e.report = r
+	madeAt := r.At.Add(-reportLag)
+	for len(e.unreportedPrompts) > 0 && e.unreportedPrompts[0].announcedAt.Before(madeAt) {
+		e.unreportedPrompts = e.unreportedPrompts[1:]
+	}
+	unreportedTokens := 0.0
+	for _, p := range e.unreportedPrompts {
+		unreportedTokens += p.tokens
+	}
+	peerTokens := max(float64(r.UsedTokens)-(e.ownProjection.Mean[0]-e.ownPendingPrefill), 0)
+	for horizon := range e.peerLoad {
+		e.peerLoad[horizon] = peerTokens*e.projectedGrowth(horizon) + unreportedTokens
+	}
+	e.peersRunning = max(r.Running+r.Waiting-e.ownRunning, 0) + len(e.unreportedPrompts)
+}
--- a/pkg/scheduler/played_test.go
+++ b/pkg/scheduler/played_test.go
@@ -101,7 +101,7 @@
 		cfg := scheduler.Version(version)
 		cfg.DataCenter = "dc0"
 		cfg.Rand = rand.New(rand.NewPCG(seed, uint64(i)))
-		cfg.LocalChoices = 4
+		cfg.LocalSampleSize = 4
 		s := scheduler.New(cfg)
 		s.SetEndpoints(p.now, specs)
 		p.entries = append(p.entries, s)
--- a/pkg/scheduler/probe_test.go
+++ b/pkg/scheduler/probe_test.go
@@ -25,7 +25,7 @@
 	for seed := range uint64(50) {
 		g := NewWithT(t)
 		now := time.Unix(0, 0)
-		s := forwarding("dc0", seed)
+		s := newForwardingScheduler("dc0", seed)
 		dead := []fleet.Endpoint{service("dead-1", "dc1"), service("dead-2", "dc1")}
 		s.SetEndpoints(now, dead)
 		id := 0
@@ -54,7 +54,7 @@
 	for _, dataCenter := range []string{"dc0", "dc1"} {
 		g := NewWithT(t)
 		now := time.Unix(0, 0)
-		s := forwarding("dc0", 1)
+		s := newForwardingScheduler("dc0", 1)
 		s.SetEndpoints(now, []fleet.Endpoint{service("a", dataCenter)})
 		send := func(id int) {
 			g.Expect(s.Submit(now, plainRequest(id, now))).To(BeNil(), dataCenter)
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -39,7 +39,7 @@
 func (it *item) begun() {
 	if it.unread {
 		it.unread = false
-		it.endpoint.unread -= float64(it.req.PromptTokens)
+		it.endpoint.ownPendingPrefill -= float64(it.req.PromptTokens)
 	}
 }
 
--- a/pkg/scheduler/reach.go
+++ b/pkg/scheduler/reach.go
@@ -23,7 +23,7 @@
 // dataCenterBreaker returns the breaker of an endpoint's data centre, or nil for the
 // own one and if data centres aren't looked at.
 func (s *Scheduler) dataCenterBreaker(e *endpoint) *retry.Breaker {
-	if !s.cfg.ReachByDataCenter || e.spec.DataCenter == s.cfg.DataCenter {
+	if !s.cfg.DataCenterBreakers || e.spec.DataCenter == s.cfg.DataCenter {
 		return nil
 	}
 	b := s.dataCenters[e.spec.DataCenter]
@@ -45,7 +45,7 @@
 
 // takes reports whether a request may go to an endpoint now.
 func (s *Scheduler) takes(now time.Time, e *endpoint) bool {
-	return s.allowed(now, e) && s.bears(now, e) && s.pressure.Takes(now, e.spec)
+	return s.allowed(now, e) && s.coldLimitAllows(now, e) && s.pressure.Takes(now, e.spec)
 }
 
 // bestProbe reports whether an endpoint may be the probe of its lost data centre: it has
@@ -61,7 +61,7 @@
 // sentTo records that a request goes to an endpoint.
 func (s *Scheduler) sentTo(now time.Time, e *endpoint) {
 	e.breaker.Sent(now)
-	e.sentCold(now)
+	e.recordColdSend(now)
 	s.pressure.Sent(now, e.spec)
 	if b := s.dataCenterBreaker(e); b != nil {
 		b.Sent(now)
@@ -70,7 +70,7 @@
 
 // ended records how a request ended at an endpoint.
 func (s *Scheduler) ended(now time.Time, e *endpoint, res Result) {
-	if s.cfg.NoBreakers {
+	if s.cfg.DisableBreakers {
 		return
 	}
 	switch {
@@ -101,11 +101,11 @@
 // answered records that an endpoint has begun to answer, or has answered whole. A long
 // answer doesn't keep a breaker half open until it ends.
 func (s *Scheduler) answered(now time.Time, e *endpoint) {
-	if s.cfg.NoBreakers {
+	if s.cfg.DisableBreakers {
 		return
 	}
 	if e.breaker.Opened() {
-		e.returned(now)
+		e.markRecovered(now)
 	}
 	e.breaker.Success()
 	if b := s.dataCenterBreaker(e); b != nil {
--- a/pkg/scheduler/readrate.go
+++ b/pkg/scheduler/readrate.go
@@ -24,33 +24,33 @@
 
 // readRate is how many prompt tokens an engine of a target reads a second.
 func (s *Scheduler) readRate(target string) float64 {
-	if s.cfg.ReadRate <= 0 {
+	if s.cfg.PrefillRate <= 0 {
 		return 0
 	}
-	return max(s.cfg.ReadRate, s.queue(target).learntRate)
+	return max(s.cfg.PrefillRate, s.queue(target).learntRate)
 }
 
 // noteSend records a prompt that this entry sends, before it counts as unread.
 func (s *Scheduler) noteSend(now time.Time, it *item, e *endpoint) {
-	if s.cfg.ReadRate <= 0 || it.req.PromptTokens == 0 {
+	if s.cfg.PrefillRate <= 0 || it.req.PromptTokens == 0 {
 		return
 	}
-	s.countOwnPrompt(now, e, it)
+	s.countOwnPromptTokens(now, e, it)
 	rate := s.readRate(it.req.Row.Target)
-	before := e.promptsLeft(now, rate)
-	if s.cfg.ToldReads {
+	before := e.remainingPrefill(now, rate)
+	if s.cfg.PrefillFromNotices {
 		before = s.unreadOf(now, e)
 	}
 	it.sentIdle = s.idle(it.req.Row.Target, before)
 	it.sentBehind = before
-	e.sent(now, it.req.PromptTokens, rate)
-	it.sentMark = e.sentTotal
+	e.recordPromptSent(now, it.req.PromptTokens, rate)
+	it.sentMark = e.promptTokensSent
 }
 
 // noteStart learns from an answer that has begun.
 func (s *Scheduler) noteStart(now time.Time, it *item) {
 	took := now.Sub(it.sentAt).Seconds()
-	if s.cfg.ReadRate <= 0 || it.req.PromptTokens == 0 || took <= 0 {
+	if s.cfg.PrefillRate <= 0 || it.req.PromptTokens == 0 || took <= 0 {
 		return
 	}
 	q := s.queue(it.req.Row.Target)
@@ -61,16 +61,16 @@
 	if s.learnsPace(it) {
 		q.notePace((it.sentBehind+float64(it.req.PromptTokens))/took, s.readRate(it.req.Row.Target))
 	}
-	if s.cfg.ReadInTurn || !it.req.Urgent() {
+	if s.cfg.FIFOPrefill || !it.req.Urgent() {
 		// Urgent prompts may have been read before others that came earlier.
-		it.endpoint.readUpTo(now, it.sentMark, s.readRate(it.req.Row.Target))
+		it.endpoint.recordPrefilledUpTo(now, it.sentMark, s.readRate(it.req.Row.Target))
 	}
 }
 
 // learnsPace reports whether the start of an answer tells the pace. What was before a
 // prompt is known well in the own data centre only.
 func (s *Scheduler) learnsPace(it *item) bool {
-	return s.cfg.LearnPace && (s.cfg.ReadInTurn || !it.req.Urgent()) && it.endpoint.spec.DataCenter == s.cfg.DataCenter
+	return s.cfg.LearnEffectivePrefillRate && (s.cfg.FIFOPrefill || !it.req.Urgent()) && it.endpoint.spec.DataCenter == s.cfg.DataCenter
 }
 
 // notePace learns from a prompt that got through so many tokens a second, its own included.
--- a/pkg/scheduler/regions_test.go
+++ b/pkg/scheduler/regions_test.go
@@ -35,7 +35,7 @@
 		"none has an endpoint": {[]string{"west"}, nil, ""},
 	}
 	for name, tc := range cases {
-		s := forwarding("dc0", 1)
+		s := newForwardingScheduler("dc0", 1)
 		s.SetEndpoints(now, []fleet.Endpoint{north, south, unknown})
 		// The one that may take it is full and has much to read.
 		s.Report(now, scheduler.Report{Endpoint: tc.want, Incarnation: 1, At: now, UsedTokens: 33_000, CapacityTokens: 34_000, Running: 9})
--- a/pkg/scheduler/remote.go
+++ b/pkg/scheduler/remote.go
@@ -35,7 +35,7 @@
 		if e.spec.DataCenter != s.cfg.DataCenter || e.spec.CapacityTokens == 0 || e.leaving || !e.known(now) {
 			continue
 		}
-		out = append(out, Load{Report: e.report, Unread: int(s.backlog(now, e))})
+		out = append(out, Load{Report: e.report, Unread: int(s.prefillBacklog(now, e))})
 	}
 	return out
 }
@@ -57,7 +57,7 @@
 		return
 	}
 	s.Report(now, l.Report)
-	e.othersUnread.replace(now, max(float64(l.Unread)-e.unread, 0))
+	e.peerPendingPrefill.replace(now, max(float64(l.Unread)-e.ownPendingPrefill, 0))
 }
 
 // known reports whether the last report of an engine says how busy it is now.
@@ -68,7 +68,7 @@
 // remoteChoices lists the engines of other data centres that a prompt may go to: those
 // whose load is known, or all if the own data centre has none that stays.
 func (s *Scheduler) remoteChoices(now time.Time, t *target) []*endpoint {
-	if !s.cfg.KnownRemotes || !t.staysLocal() {
+	if !s.cfg.RequireRemoteReports || !t.staysLocal() {
 		return t.remoteEngines
 	}
 	s.known = s.known[:0]
@@ -82,7 +82,7 @@
 
 // unknownRemote reports whether nothing is known of an engine of another data centre.
 func (s *Scheduler) unknownRemote(now time.Time, e *endpoint) bool {
-	return s.cfg.KnownRemotes && e.spec.DataCenter != s.cfg.DataCenter && !e.known(now)
+	return s.cfg.RequireRemoteReports && e.spec.DataCenter != s.cfg.DataCenter && !e.known(now)
 }
 
 // staysLocal reports whether an engine of the own data centre takes new work.
--- a/pkg/scheduler/remote_test.go
+++ b/pkg/scheduler/remote_test.go
@@ -34,7 +34,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	busy := func() *scheduler.Scheduler {
-		s := forwarding("dc0", 1)
+		s := newForwardingScheduler("dc0", 1)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("far", "dc1")})
 		s.Report(now, busyAt(now, "a"))
 		for range 2 {
@@ -57,7 +57,7 @@
 func TestAnEntryWithoutEnginesSendsElsewhere(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := forwarding("dc0", 1)
+	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("far", "dc1")})
 	s.SetLeaving("a", true)
 	g.Expect(sendsTo(g, s, now, 1)).To(Equal(map[string]int{"far": 1}))
@@ -67,7 +67,7 @@
 func TestLoadsElsewhereCountOwnPromptsOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	here, there := forwarding("dc0", 1), forwarding("dc1", 2)
+	here, there := newForwardingScheduler("dc0", 1), newForwardingScheduler("dc1", 2)
 	endpoints := []fleet.Endpoint{engine("far", "dc1")}
 	for _, s := range []*scheduler.Scheduler{here, there} {
 		s.SetEndpoints(now, endpoints)
--- a/pkg/scheduler/runtime.go
+++ b/pkg/scheduler/runtime.go
@@ -14,7 +14,7 @@
 
 // ran learns how long a request took from its sending to the end of its answer.
 func (s *Scheduler) ran(now time.Time, it *item) {
-	if !s.cfg.TimeToRun {
+	if !s.cfg.LimitWaitByRunTime {
 		return
 	}
 	took := now.Sub(it.sentAt)
@@ -33,7 +33,7 @@
 // its arrival, and early enough to end before its timeout.
 func (s *Scheduler) startBy(r *Request) time.Time {
 	wait := r.Row.MaxQueueTime
-	if s.cfg.TimeToRun && r.Row.Timeout > 0 {
+	if s.cfg.LimitWaitByRunTime && r.Row.Timeout > 0 {
 		wait = min(wait, max(r.Row.Timeout-s.runTimes[r.Kind], 0))
 	}
 	return r.Arrived.Add(wait)
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -105,15 +105,15 @@
 		}
 		e.spec = spec
 		e.index = i
-		e.learnCold(now, before)
+		e.updateWarmUp(now, before)
 		e.leaving = s.leaving[spec.ID] || spec.Closed
-		e.parts = s.homes[spec.ID]
+		e.homeEntries = s.homes[spec.ID]
 		s.byID[spec.ID] = e
 		s.endpoints = append(s.endpoints, e)
 	}
 	for id, e := range old {
 		if s.byID[id] != e {
-			e.gone = true
+			e.removed = true
 		}
 	}
 	s.pressure.Listed(now, func(l fleet.Life) bool { return s.live(l) != nil })
@@ -144,7 +144,7 @@
 	leaving = leaving || e.spec.Closed
 	if e.leaving != leaving {
 		e.leaving = leaving
-		s.forgetApart()
+		s.resetIsolation()
 	}
 }
 
@@ -152,11 +152,11 @@
 // decision compares. It does harm to compare many that little is known of: entries
 // with the same late news all choose the same.
 func (s *Scheduler) SetChoices(local, remote int) {
-	if s.cfg.CompareAll {
+	if s.cfg.DisableSampling {
 		return
 	}
-	s.cfg.LocalChoices = max(local, 1)
-	s.cfg.RemoteChoices = max(remote, 1)
+	s.cfg.LocalSampleSize = max(local, 1)
+	s.cfg.RemoteSampleSize = max(remote, 1)
 }
 
 // SetHome says that the entry is one of so many home entries of an endpoint, or
@@ -170,8 +170,8 @@
 	} else {
 		s.homes[id] = parts
 	}
-	if e := s.byID[id]; e != nil && e.parts != parts {
-		e.parts = parts
+	if e := s.byID[id]; e != nil && e.homeEntries != parts {
+		e.homeEntries = parts
 		clear(s.targets)
 	}
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	if !it.lastToken.IsZero() {
-		it.endpoint.observeGap(now.Sub(it.lastToken) / time.Duration(generated-it.generated))
+		it.endpoint.observeTokenGap(now.Sub(it.lastToken) / time.Duration(generated-it.generated))
 	}
 	if it.generated == 0 {
 		s.answered(now, it.endpoint)
@@ -204,12 +204,12 @@
 		it.begun()
 	}
 	it.lastToken = now
-	moved := generated/reprojectEvery != it.generated/reprojectEvery
+	moved := generated/reprojectTokens != it.generated/reprojectTokens
 	it.generated = generated
 	if it.run.Advance(generated) || moved {
-		it.endpoint.take(it, -1)
+		it.endpoint.addProjection(it, -1)
 		it.projection = it.run.Project(it.req.PromptTokens, generated).Bound(generated, it.req.MaxTokens)
-		it.endpoint.take(it, 1)
+		it.endpoint.addProjection(it, 1)
 	}
 }
 
@@ -220,11 +220,11 @@
 		return
 	}
 	it.begun()
-	it.endpoint.take(it, -1)
+	it.endpoint.addProjection(it, -1)
 	it.endpoint.ownRunning--
 	it.endpoint = to
 	it.lastToken = time.Time{}
-	to.take(it, 1)
+	to.addProjection(it, 1)
 	to.ownRunning++
 }
 
@@ -238,12 +238,12 @@
 	s.inFlight.Release(limitKey(&it.req))
 	it.begun()
 	e := it.endpoint
-	e.take(it, -1)
+	e.addProjection(it, -1)
 	e.ownRunning--
 	if e.ownRunning == 0 {
-		e.own = lengths.Projection{}
+		e.ownProjection = lengths.Projection{}
 	}
-	if res.Complete && it.req.PromptTokens > 0 && !s.cfg.ForgetLengths {
+	if res.Complete && it.req.PromptTokens > 0 && !s.cfg.DisableLengthLearning {
 		it.run.End(res.Generated)
 	}
 	if res.Complete {
@@ -259,16 +259,16 @@
 	if e == nil {
 		return
 	}
-	if s.cfg.OthersFromReports {
-		e.observeOthers(r)
+	if s.cfg.PeerLoadFromReportsAndNotices {
+		e.observeReportWithNotices(r)
 		return
 	}
-	if !s.cfg.PeersFromReports {
-		e.observe(r)
+	if !s.cfg.PeerLoadFromReports {
+		e.observeReport(r)
 		return
 	}
-	e.observePeers(r)
-	if e.spec.DataCenter != s.cfg.DataCenter && len(s.reported) < maxReported && !slices.Contains(s.reported, e) {
+	e.observeReportAsPeerLoad(r)
+	if e.spec.DataCenter != s.cfg.DataCenter && len(s.reported) < maxReportedCandidates && !slices.Contains(s.reported, e) {
 		s.reported = append(s.reported, e)
 	}
 }
@@ -277,13 +277,13 @@
 // Without a rate of reading nothing is recorded.
 func (s *Scheduler) PromptSent(now time.Time, endpoint string, tokens int) {
 	if e := s.byID[endpoint]; e != nil {
-		e.sent(now, tokens, s.readRate(e.spec.Targets[0]))
-		s.countPrompt(now, e, tokens)
-		if s.cfg.OthersFromReports {
-			e.toldOf(now, tokens)
+		e.recordPromptSent(now, tokens, s.readRate(e.spec.Targets[0]))
+		s.countPromptTokens(now, e, tokens)
+		if s.cfg.PeerLoadFromReportsAndNotices {
+			e.recordPeerPrompt(now, tokens)
 		}
-		if s.cfg.ToldReads {
-			e.othersUnread.add(now, tokens)
+		if s.cfg.PrefillFromNotices {
+			e.peerPendingPrefill.add(now, tokens)
 		}
 	}
 }
@@ -291,18 +291,18 @@
 // PromptRead records that an engine has read a prompt of another entry.
 func (s *Scheduler) PromptRead(now time.Time, endpoint string, tokens int) {
 	if e := s.byID[endpoint]; e != nil {
-		e.othersUnread.remove(now, tokens)
+		e.peerPendingPrefill.remove(now, tokens)
 	}
 }
 
 // SetShares implements Policy.
 func (s *Scheduler) SetShares(_ time.Time, vm string, shares []Share) {
-	if s.cfg.PeersFromReports {
+	if s.cfg.PeerLoadFromReports {
 		return
 	}
 	for _, sh := range s.shares[vm] {
 		if e := s.byID[sh.Endpoint]; e != nil {
-			e.peers = e.peers.Sub(sh.Projected)
+			e.peerLoad = e.peerLoad.Sub(sh.Projected)
 			e.peersRunning -= sh.Running
 		}
 	}
@@ -317,7 +317,7 @@
 func (s *Scheduler) addShares(shares []Share) {
 	for _, sh := range shares {
 		if e := s.byID[sh.Endpoint]; e != nil {
-			e.peers = e.peers.Add(sh.Projected)
+			e.peerLoad = e.peerLoad.Add(sh.Projected)
 			e.peersRunning += sh.Running
 		}
 	}
@@ -326,11 +326,11 @@
 // sumShares counts anew what peers have said of their work. What reports have shown
 // of it stays.
 func (s *Scheduler) sumShares() {
-	if s.cfg.PeersFromReports || s.cfg.OthersFromReports {
+	if s.cfg.PeerLoadFromReports || s.cfg.PeerLoadFromReportsAndNotices {
 		return
 	}
 	for _, e := range s.endpoints {
-		e.peers = lengths.Profile{}
+		e.peerLoad = lengths.Profile{}
 		e.peersRunning = 0
 	}
 	for _, shares := range s.shares {
@@ -343,7 +343,7 @@
 	var out []Share
 	for _, e := range s.endpoints {
 		if e.ownRunning > 0 {
-			out = append(out, Share{e.spec.ID, e.ownRunning, e.own.Mean})
+			out = append(out, Share{e.spec.ID, e.ownRunning, e.ownProjection.Mean})
 		}
 	}
 	return out
--- a/pkg/scheduler/scheduler_test.go
+++ b/pkg/scheduler/scheduler_test.go
@@ -49,7 +49,7 @@
 
 func (b *bed) submit(prompt int, change func(*scheduler.Request)) (scheduler.ID, *outcome.Error) {
 	b.next++
-	r := scheduler.Request{ID: b.next, Workspace: "w", Kind: "k", Row: row, PromptTokens: prompt, Arrived: b.now}
+	r := scheduler.Request{ID: b.next, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: prompt, Arrived: b.now}
 	if change != nil {
 		change(&r)
 	}
@@ -92,7 +92,7 @@
 		}
 		large, err := b.submit(8000, nil)
 		Expect(err).To(BeNil())
-		end := b.now.Add(row.MaxQueueTime)
+		end := b.now.Add(defaultRow.MaxQueueTime)
 		for b.now.Before(end) && !slices.Contains(running, large) {
 			b.now = b.now.Add(100 * time.Millisecond)
 			small()
@@ -118,7 +118,7 @@
 		b.submit(9000, nil)
 		b.dispatched()
 		waiting, _ := b.submit(9000, nil)
-		b.now = b.now.Add(row.MaxQueueTime + time.Second)
+		b.now = b.now.Add(defaultRow.MaxQueueTime + time.Second)
 		refusals := b.Next(b.now).Refusals
 		Expect(refusals).To(HaveLen(1))
 		Expect(refusals[0].ID).To(Equal(waiting))
@@ -263,7 +263,7 @@
 	s := scheduler.New(scheduler.Version(scheduler.Current))
 	s.SetEndpoints(now, []fleet.Endpoint{{ID: "engine-1", Type: fleet.Engine, Targets: []string{"m"}, CapacityTokens: 16_000, MaxRunning: 64}})
 	s.SetHome("engine-1", 1)
-	r := scheduler.Request{ID: 1, Workspace: "w", Kind: "k", Row: row, PromptTokens: 300, Arrived: now}
+	r := scheduler.Request{ID: 1, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: 300, Arrived: now}
 	if err := s.Submit(now, r); err == nil {
 		for _, d := range s.Next(now).Dispatches {
 			fmt.Println(d.ID, d.Endpoint.ID)
--- a/pkg/scheduler/serve.go
+++ b/pkg/scheduler/serve.go
@@ -14,7 +14,7 @@
 	s.actions.Refusals = append(s.actions.Refusals[:0], s.displaced...)
 	s.displaced = s.displaced[:0]
 	for target, q := range s.queues {
-		if q.rate.measure(now, len(q.items) > 0, s.cfg.RateSmoothing, s.cfg.RateWarmUp) && s.cfg.Recost {
+		if q.rate.measure(now, len(q.items) > 0, s.cfg.DrainRateSmoothing, s.cfg.DrainRateWarmUp) && s.cfg.RecomputeCosts {
 			s.recost(q)
 		}
 		if len(q.items) > 0 {
@@ -50,7 +50,7 @@
 	if len(q.items) == 0 {
 		return
 	}
-	s.snapshot(now, target)
+	s.collectCandidates(now, target)
 	held := false
 	for i := 0; i < len(q.items); {
 		it := q.items[i]
@@ -70,8 +70,8 @@
 			s.drop(q, i, err)
 			continue
 		}
-		e := s.choose(now, it)
-		if e == nil && s.isApart(it) {
+		e := s.chooseEndpoint(now, it)
+		if e == nil && s.isIsolated(it) {
 			i++
 			continue
 		}
@@ -103,7 +103,7 @@
 // hopeless refuses a request that can't be expected to finish before its
 // timeout, so that its room serves one that can.
 func (s *Scheduler) hopeless(now time.Time, it *item) *outcome.Error {
-	if it.req.PromptTokens == 0 || s.cfg.KeepHopeless {
+	if it.req.PromptTokens == 0 || s.cfg.DisableTimeoutRefusals {
 		return nil
 	}
 	left := it.req.Arrived.Add(it.req.Row.Timeout).Sub(now)
@@ -130,13 +130,13 @@
 func (s *Scheduler) meanGap() float64 {
 	sum, n := 0.0, 0
 	for _, e := range s.endpoints {
-		if e.gap > 0 {
-			sum += e.gap
+		if e.tokenGap > 0 {
+			sum += e.tokenGap
 			n++
 		}
 	}
 	if n == 0 {
-		return defaultGap.Seconds()
+		return defaultTokenGap.Seconds()
 	}
 	return sum / float64(n)
 }
@@ -152,11 +152,11 @@
 	it.generated = 0
 	it.lastToken = time.Time{}
 	it.run = s.estimator.Start(lengthKey(&it.req))
-	e.take(it, 1)
+	e.addProjection(it, 1)
 	e.ownRunning++
 	s.noteSend(now, it, e)
 	it.unread = true
-	e.unread += float64(it.req.PromptTokens)
+	e.ownPendingPrefill += float64(it.req.PromptTokens)
 	s.sentTo(now, e)
 	s.running[it.req.ID] = it
 	s.refreshCandidate(now, e)
@@ -170,7 +170,7 @@
 		c := &s.candidates[i]
 		c.Broken = !s.takes(now, s.endpoints[c.Index])
 		if c.Index == e.index {
-			c.Backlog = s.backlog(now, e)
+			c.Backlog = s.prefillBacklog(now, e)
 		}
 	}
 }
--- a/pkg/scheduler/start.go
+++ b/pkg/scheduler/start.go
@@ -32,13 +32,13 @@
 // startsIn is how long an engine is expected to take until it begins with an answer:
 // it reads what waits already, and the urgent prompts that come meanwhile.
 func (s *Scheduler) startsIn(now time.Time, backlog float64, it *item) time.Duration {
-	seconds := (backlog + float64(it.req.PromptTokens)) / s.spareRate(now, it.req.Row.Target)
+	seconds := (backlog + float64(it.req.PromptTokens)) / s.availablePrefillRate(now, it.req.Row.Target)
 	return time.Duration(seconds * float64(time.Second))
 }
 
 // boundByStart reports whether a request is sent only where it can begin in time.
 func (s *Scheduler) boundByStart(it *item) bool {
-	return s.cfg.StartInTime && s.cfg.ReadRate > 0 && it.req.PromptTokens > 0 && it.req.Row.Objective > 0 && (s.cfg.ReadInTurn || !it.req.Urgent())
+	return s.cfg.EnforceStartObjective && s.cfg.PrefillRate > 0 && it.req.PromptTokens > 0 && it.req.Row.Objective > 0 && (s.cfg.FIFOPrefill || !it.req.Urgent())
 }
 
 // startWithin is the time within which an answer is to begin: its objective, or what an
@@ -83,7 +83,7 @@
 	q.leastBacklog = math.Inf(1)
 	for e := range s.staying(target) {
 		if s.allowed(now, e) && s.pressure.Takes(now, e.spec) && !s.unknownRemote(now, e) {
-			q.leastBacklog = min(q.leastBacklog, s.backlog(now, e))
+			q.leastBacklog = min(q.leastBacklog, s.prefillBacklog(now, e))
 		}
 	}
 	return q.leastBacklog
--- a/pkg/scheduler/status.go
+++ b/pkg/scheduler/status.go
@@ -40,11 +40,11 @@
 			Breaker:      e.breaker.State(now),
 			Running:      e.ownRunning,
 			PeersRunning: e.peersRunning,
-			Backlog:      s.backlog(now, e),
-			Projected:    e.own.Mean.Add(e.peers),
-			Unexplained:  int(e.extra(now)),
+			Backlog:      s.prefillBacklog(now, e),
+			Projected:    e.ownProjection.Mean.Add(e.peerLoad),
+			Unexplained:  int(e.unattributedLoad(now)),
 			Capacity:     e.spec.CapacityTokens,
-			Gap:          time.Duration(e.gap * float64(time.Second)),
+			Gap:          time.Duration(e.tokenGap * float64(time.Second)),
 			Preemptions:  e.report.Preemptions,
 		}
 		if !e.report.At.IsZero() {
@@ -90,10 +90,10 @@
 	it := s.newItem(r)
 	q := s.queue(r.Row.Target)
 	it.orderBy = it.startBy
-	s.snapshot(now, r.Row.Target)
+	s.collectCandidates(now, r.Row.Target)
 	out := Explanation{Projected: it.projection.Mean, Ahead: len(q.items)}
 	out.Wait, _ = q.wait(q.ahead(it))
-	s.measure(now, it)
+	s.evaluateCandidates(now, it)
 	for _, c := range s.candidates {
 		out.IDs = append(out.IDs, s.endpoints[c.Index].spec.ID)
 	}
--- a/pkg/scheduler/submit.go
+++ b/pkg/scheduler/submit.go
@@ -29,7 +29,7 @@
 		s.release(it)
 		return err
 	}
-	q.place(it, s.cfg.OrderByWorth)
+	q.place(it, s.cfg.OrderByValuePerCost)
 	if err := cmp.Or(s.withheld(now, it, q.before(it)), s.admitToQueue(now, q, it)); err != nil {
 		s.release(it)
 		return err
@@ -91,7 +91,7 @@
 func (s *Scheduler) admitToQueue(now time.Time, q *queue, it *item) *outcome.Error {
 	left := it.startBy.Sub(now)
 	wait, known := q.wait(q.ahead(it))
-	if !known || wait <= left || s.cfg.KeepLate {
+	if !known || wait <= left || s.cfg.DisableDeadlineRefusals {
 		return nil
 	}
 	if s.displace(q, it, left) {
--- a/pkg/scheduler/target.go
+++ b/pkg/scheduler/target.go
@@ -19,7 +19,7 @@
 	remoteEngines  []*endpoint
 	remoteServices []*endpoint
 	// apart is nil until somebody asks for it; see apartAt.
-	apart *apartEndpoints
+	apart *isolationAssignment
 }
 
 // all lists the groups of endpoints, the nearest first.
@@ -45,7 +45,7 @@
 			t.remoteEngines = append(t.remoteEngines, e)
 		case e.spec.DataCenter != s.cfg.DataCenter:
 			t.remoteServices = append(t.remoteServices, e)
-		case e.parts > 0:
+		case e.homeEntries > 0:
 			t.homes = append(t.homes, e)
 		default:
 			t.local = append(t.local, e)
--- a/pkg/scheduler/unread.go
+++ b/pkg/scheduler/unread.go
@@ -23,7 +23,7 @@
 // unreadPrompts are prompts of other entries that an engine has still to read, the oldest
 // first.
 type unreadPrompts struct {
-	prompts []toldPrompt
+	prompts []peerPrompt
 	tokens  float64
 }
 
@@ -32,7 +32,7 @@
 	if len(u.prompts) >= maxUnread {
 		u.drop(0)
 	}
-	u.prompts = append(u.prompts, toldPrompt{now, float64(tokens)})
+	u.prompts = append(u.prompts, peerPrompt{now, float64(tokens)})
 	u.tokens += float64(tokens)
 }
 
@@ -40,7 +40,7 @@
 // it was.
 func (u *unreadPrompts) remove(now time.Time, tokens int) {
 	u.expire(now)
-	i := slices.IndexFunc(u.prompts, func(p toldPrompt) bool { return p.tokens == float64(tokens) })
+	i := slices.IndexFunc(u.prompts, func(p peerPrompt) bool { return p.tokens == float64(tokens) })
 	if i >= 0 {
 		u.drop(i)
 	}
@@ -52,7 +52,7 @@
 }
 
 func (u *unreadPrompts) expire(now time.Time) {
-	for len(u.prompts) > 0 && now.Sub(u.prompts[0].at) > unreadFor {
+	for len(u.prompts) > 0 && now.Sub(u.prompts[0].announcedAt) > unreadFor {
 		u.drop(0)
 	}
 }
@@ -65,14 +65,14 @@
 
 // replace takes the word of one that has counted itself.
 func (u *unreadPrompts) replace(now time.Time, tokens float64) {
-	u.prompts = append(u.prompts[:0], toldPrompt{now, tokens})
+	u.prompts = append(u.prompts[:0], peerPrompt{now, tokens})
 	u.tokens = tokens
 }
 
 // unreadOf counts the prompt tokens that an engine has still to read.
 func (s *Scheduler) unreadOf(now time.Time, e *endpoint) float64 {
-	if s.cfg.ToldReads {
-		return e.unread + e.othersUnread.total(now)
+	if s.cfg.PrefillFromNotices {
+		return e.ownPendingPrefill + e.peerPendingPrefill.total(now)
 	}
-	return max(e.unread, e.promptsLeft(now, s.readRate(e.spec.Targets[0])))
+	return max(e.ownPendingPrefill, e.remainingPrefill(now, s.readRate(e.spec.Targets[0])))
 }
--- a/pkg/scheduler/versions.go
+++ b/pkg/scheduler/versions.go
@@ -29,51 +29,51 @@
 	{"v2", func(c *Config) { c.UrgentOvercommit = true }},
 	{"v3", func(c *Config) {
 		c.PriorHazard = 0
-		c.RateSmoothing = 0.05
-		c.Recost = true
+		c.DrainRateSmoothing = 0.05
+		c.RecomputeCosts = true
 		c.DisplaceRatio = 3
 	}},
-	{"v4", func(c *Config) { c.Parts = true }},
+	{"v4", func(c *Config) { c.PartitionMemory = true }},
 	{"v5", func(c *Config) {
-		c.PeersFromReports = true
-		c.BorrowFill = 0.75
+		c.PeerLoadFromReports = true
+		c.MaxBorrowUtilization = 0.75
 	}},
-	{"v6", func(c *Config) { c.RateWarmUp = 4 * time.Second }},
-	{"v7", func(c *Config) { c.OrderByWorth = true }},
+	{"v6", func(c *Config) { c.DrainRateWarmUp = 4 * time.Second }},
+	{"v7", func(c *Config) { c.OrderByValuePerCost = true }},
 	{"v8", func(c *Config) {
-		c.PeersFromReports = false
-		c.Parts = false
-		c.OrderByWorth = false
+		c.PeerLoadFromReports = false
+		c.PartitionMemory = false
+		c.OrderByValuePerCost = false
 		c.Pipeline = routing.Spread()
 		c.ServicePipeline = routing.Default()
 		// The time between tokens counts the pauses of moves, so it says too little.
-		c.KeepHopeless = true
-		c.ReadRate = DefaultReadRate
-		c.LocalChoices = 2
-		c.RemoteChoices = 3
+		c.DisableTimeoutRefusals = true
+		c.PrefillRate = DefaultPrefillRate
+		c.LocalSampleSize = 2
+		c.RemoteSampleSize = 3
 	}},
 	{"v9", func(c *Config) {
-		c.ReachByDataCenter = true
+		c.DataCenterBreakers = true
 		c.RefuseUnservable = true
 	}},
 	{"v10", func(c *Config) {
-		c.StartInTime = true
-		c.OthersFromReports = true
+		c.EnforceStartObjective = true
+		c.PeerLoadFromReportsAndNotices = true
 	}},
 	{"v11", func(c *Config) {
-		c.TimeToRun = true
+		c.LimitWaitByRunTime = true
 		// Faster tokens are no reason where work goes to the emptiest of some engines.
-		c.dropScorer(isSpeed)
+		c.removeScorers(isSpeedScorer)
 		// Rows of the platform all weigh the same, so nobody is worth more than one who
 		// waits.
 		c.DisplaceRatio = math.Inf(1)
 	}},
 	{"v12", func(c *Config) {
-		c.KnownRemotes = true
-		c.ToldReads = true
+		c.RequireRemoteReports = true
+		c.PrefillFromNotices = true
 	}},
-	{"v13", func(c *Config) { c.LearnPace = true }},
-	{"v14", func(c *Config) { c.ReadInTurn = true }},
+	{"v13", func(c *Config) { c.LearnEffectivePrefillRate = true }},
+	{"v14", func(c *Config) { c.FIFOPrefill = true }},
 }
 
 // Versions lists the names of the versions, the oldest first.
@@ -87,7 +87,7 @@
 
 // Version returns the configuration of a version: all changes up to it.
 func Version(name string) Config {
-	cfg := Config{Margin: DefaultMargin, UrgentShare: DefaultUrgentShare}
+	cfg := Config{MarginStdDevs: DefaultMarginStdDevs, UrgentReserve: DefaultUrgentReserve}
 	if !slices.Contains(Versions(), name) {
 		return cfg
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -58,16 +58,16 @@
 mutant "planned stop: tickets not handed over" internal/entry/lifecycle.go 's/^\te.handOver(drain)$/\t_ = e.handOver/' "$stop"
 mutant "limits: small uses not told" pkg/limits/limits.go 's/max(n+c.others(k), n\*c.entries)/n+c.others(k)/' ./pkg/limits
 mutant "urgent: no overcommit" pkg/scheduler/versions.go 's/c.UrgentOvercommit = true/c.UrgentOvercommit = false/' ./pkg/scheduler
-mutant "parts: news needed" pkg/scheduler/versions.go 's/c.Parts = true/c.Parts = false/' ./pkg/scheduler
+mutant "parts: news needed" pkg/scheduler/versions.go 's/c.PartitionMemory = true/c.PartitionMemory = false/' ./pkg/scheduler
 mutant "moves: nothing moved that begins late" internal/gateway/parts.go 's/g.evacuator.Begun(g.work, at)//' "./internal/gateway -run TestGenerations"
 mutant "moves: stopped while the link is busy" internal/evacuate/move.go 's/if !e.cfg.Off.CopyRefresh {/if false {/' "./internal/gateway -run TestAGeneration"
 mutant "moves: no slack between copies" pkg/evacuation/evacuation.go 's/{80 \* time.Millisecond, 40 \* time.Millisecond, 0}/{0}/' ./pkg/evacuation
 mutant "moves: links of targets not counted" pkg/evacuation/evacuation.go 's/^\tbest.busy = end$//' ./pkg/evacuation
-mutant "notices: others' prompts not counted" pkg/scheduler/versions.go 's/c.ReadRate = DefaultReadRate/c.ReadRate = 0/' ./pkg/scheduler
+mutant "notices: others' prompts not counted" pkg/scheduler/versions.go 's/c.PrefillRate = DefaultPrefillRate/c.PrefillRate = 0/' ./pkg/scheduler
 mutant "notices: not sent" internal/gateway/tell.go 's/if g.notices == nil || g.cfg.Without.has(mechNotices) {/if true {/' "./internal/gateway -run TestEntriesTellOfPrompts"
 mutant "notices: refused prompts not told to be read" internal/relay/relay.go 's/^\tdefer read()$/\t_ = read/' "./internal/gateway -run TestEntriesTellThat"
-mutant "notices: reading estimated" pkg/scheduler/versions.go 's/c.ToldReads = true/c.ToldReads = false/' ./pkg/scheduler
-mutant "notices: unknown engines elsewhere used" pkg/scheduler/versions.go 's/c.KnownRemotes = true/c.KnownRemotes = false/' ./pkg/scheduler
+mutant "notices: reading estimated" pkg/scheduler/versions.go 's/c.PrefillFromNotices = true/c.PrefillFromNotices = false/' ./pkg/scheduler
+mutant "notices: unknown engines elsewhere used" pkg/scheduler/versions.go 's/c.RequireRemoteReports = true/c.RequireRemoteReports = false/' ./pkg/scheduler
 mutant "notices: requests that wait not told" internal/peering/loads.go 's/toByte(rep.Waiting)/0/' ./internal/peering
 mutant "notices: loads told to all" internal/notices/notices.go 's/to = append(to, peers\[pick(len(peers))\])/to = append(to, peers...)/' ./internal/notices
 mutant "exchange: answers compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 1/' ./internal/peering
@@ -96,12 +96,12 @@
 mutant "whole: an answer without the id" internal/relay/relay.go 's/ \&\& resp.RequestID == "":/ \&\& false:/' "./internal/gateway -run TestAnAnswerWithout"
 mutant "whole: the end of an error awaited" internal/upstream/pool.go 's/discardTimeout = 20 \* time.Millisecond/discardTimeout = time.Minute/' "./internal/gateway -run TestAnErrorThat"
 mutant "refusals: held though nobody serves" pkg/scheduler/versions.go 's/c.RefuseUnservable = true/c.RefuseUnservable = false/' ./pkg/scheduler
-mutant "data centres: each endpoint learnt alone" pkg/scheduler/versions.go 's/c.ReachByDataCenter = true/c.ReachByDataCenter = false/' ./pkg/scheduler
+mutant "data centres: each endpoint learnt alone" pkg/scheduler/versions.go 's/c.DataCenterBreakers = true/c.DataCenterBreakers = false/' ./pkg/scheduler
 mutant "readiness: stranded entries ready" pkg/readiness/readiness.go 's/case b.CutOff \&\& len(b.Unservable) > 0:/case false:/' ./pkg/readiness
-mutant "bursts: prompts sent wherever" pkg/scheduler/versions.go 's/c.StartInTime = true/c.StartInTime = false/' ./pkg/scheduler
-mutant "bursts: others' work forgotten" pkg/scheduler/scheduler.go 's/if s.cfg.PeersFromReports || s.cfg.OthersFromReports {/if false {/' ./pkg/scheduler
-mutant "bursts: read rates not learnt" pkg/scheduler/readrate.go 's/return max(s.cfg.ReadRate, s.queue(target).learntRate)/return s.cfg.ReadRate/' ./pkg/scheduler
-mutant "bursts: pace not learnt" pkg/scheduler/versions.go 's/c.LearnPace = true/c.LearnPace = false/' ./pkg/scheduler
+mutant "bursts: prompts sent wherever" pkg/scheduler/versions.go 's/c.EnforceStartObjective = true/c.EnforceStartObjective = false/' ./pkg/scheduler
+mutant "bursts: others' work forgotten" pkg/scheduler/scheduler.go 's/if s.cfg.PeerLoadFromReports || s.cfg.PeerLoadFromReportsAndNotices {/if false {/' ./pkg/scheduler
+mutant "bursts: read rates not learnt" pkg/scheduler/readrate.go 's/return max(s.cfg.PrefillRate, s.queue(target).learntRate)/return s.cfg.PrefillRate/' ./pkg/scheduler
+mutant "bursts: pace not learnt" pkg/scheduler/versions.go 's/c.LearnEffectivePrefillRate = true/c.LearnEffectivePrefillRate = false/' ./pkg/scheduler
 mutant "breakers: any endpoint probes its data centre" pkg/scheduler/reach.go 's/ \&\& s.bestProbe(e)$//' "./pkg/scheduler -run Probe"
 mutant "breakers: probes without a result awaited" pkg/retry/breaker.go 's/^\tb.probing = false\n}$//;/func (b \*Breaker) Inconclusive/,/^}/s/^\tb.probing = false$//' "./pkg/scheduler -run Probe"
 mutant "breakers: probes end with the answer" pkg/scheduler/scheduler.go 's/^\t\ts.answered(it.endpoint)$//' ./pkg/scheduler
@@ -148,16 +148,16 @@
 mutant "crashing requests: what ran before counts" pkg/quarantine/apart.go 's/return !apart || sent.After(since)/return !apart || sent != since/' ./pkg/quarantine
 mutant "crashing requests: nobody is acquitted" $J 's/if !one.explains || slices.ContainsFunc/if true || slices.ContainsFunc/' ./pkg/quarantine
 mutant "crashing requests: kept apart at one endpoint" pkg/quarantine/apart.go 's/if taken\[e\] > i\/len(endpoints) {/if taken[e] > i {/' "./pkg/quarantine ./pkg/scheduler"
-mutant "crashing requests: others don't avoid" pkg/scheduler/apart.go 's/return slices.DeleteFunc(slices.Clone(from), func(e \*endpoint) bool { return avoided\[e\] })/return from/' ./pkg/scheduler
+mutant "crashing requests: others don't avoid" pkg/scheduler/isolation.go 's/return slices.DeleteFunc(slices.Clone(endpoints), func(e \*endpoint) bool { return avoided\[e\] })/return endpoints/' ./pkg/scheduler
 mutant "crashing requests: ends that others tell aren't counted" pkg/quarantine/mark.go 's/if !known || ended.After(until) {/if known || !known || ended.After(until) {/' ./pkg/quarantine
 mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.findSeeds(ctx)$//' ./internal/controllers
 mutant "closed data centres: used" pkg/scheduler/scheduler.go 's/s.leaving\[spec.ID\] || spec.Closed/s.leaving[spec.ID]/' ./pkg/scheduler
 mutant "closed data centres: not told to others" pkg/fleet/registry.go 's/closed\[rec.Closes\] = true/closed[rec.Closes] = false/' "./internal/gateway -run TestAClosed"
 mutant "regions: not kept to" pkg/scheduler/regions.go 's/return len(allowed) == 0 || slices.Contains(allowed, region)/return true || slices.Contains(allowed, region)/' ./pkg/scheduler
 mutant "regions: who can go nowhere waits" pkg/scheduler/regions.go 's/if !r.bound() ||/if true ||/' ./pkg/scheduler
-mutant "cold endpoints: unbounded" pkg/scheduler/cold.go 's/return len(e.coldSends) < s.coldPart(e)/return true/' ./pkg/scheduler
-mutant "cold endpoints: every entry has the rest" pkg/scheduler/cold.go 's/if s.turnAt(e, entries) < rest {/if rest > 0 {/' ./pkg/scheduler
-mutant "prompts in turn: urgent ones unbound" pkg/scheduler/start.go 's/(s.cfg.ReadInTurn || !it.req.Urgent())/!it.req.Urgent()/' ./pkg/scheduler
+mutant "cold endpoints: unbounded" pkg/scheduler/cold.go 's/return len(e.coldSendTimes) < s.coldRateShare(e)/return true/' ./pkg/scheduler
+mutant "cold endpoints: every entry has the rest" pkg/scheduler/cold.go 's/if s.rotatedRank(e, entries) < remainder {/if remainder > 0 {/' ./pkg/scheduler
+mutant "prompts in turn: urgent ones unbound" pkg/scheduler/start.go 's/(s.cfg.FIFOPrefill || !it.req.Urgent())/!it.req.Urgent()/' ./pkg/scheduler
 mutant "priorities at engines" platform/headers.go 's/h.Set(HeaderInstance, s.Endpoint)/h.Set(HeaderInstance, s.Endpoint)\n\th.Set(headerPriority, "3")/' ./platform
 mutant "crashing requests: tied ones never contained" $J 's/return s.unexplained >= TiedThreshold || /return /' ./pkg/quarantine
 mutant "crashing requests: tied ones held long" $J 's/^\treturn TiedHold$/\treturn Hold/' ./pkg/quarantine
