--- a/pkg/scheduler/burst_test.go
+++ b/pkg/scheduler/burst_test.go
@@ -80,12 +80,12 @@
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 }
 
-// TestFastPrefillIsLearned checks that an engine that begins to answer counts as having
+// TestFastEnginesDoNotCountAsBusy checks that an engine that begins to answer counts as having
 // prefilled all earlier prompts, however fast it was expected to. Otherwise fast engines
 // would appear busy and requests would be refused. With a prefill rate of 14,000 tokens per
 // second and engine, twice the expected one, and 9,000 arriving, 15 of 990 long requests are
 // refused over five seeds; without learning, 52 of 174 with the first seed.
-func TestFastPrefillIsLearned(t *testing.T) {
+func TestFastEnginesDoNotCountAsBusy(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
 		p := newPlayed(scheduler.Forwarding, seed)
--- a/pkg/scheduler/choose.go
+++ b/pkg/scheduler/choose.go
@@ -35,8 +35,7 @@
 	}
 }
 
-// sampleCandidates adds up to maxCount of the endpoints at a regular stride from a random
-// start.
+// sampleCandidates adds up to maxCount of the endpoints, evenly spaced from a random start.
 func (s *Scheduler) sampleCandidates(now time.Time, endpoints []*endpoint, maxCount int, typicalGap float64) {
 	if len(endpoints) == 0 {
 		return
@@ -49,6 +48,7 @@
 	}
 }
 
+// addCandidate adds an endpoint with the fields that don't depend on a request.
 func (s *Scheduler) addCandidate(now time.Time, e *endpoint, typicalGap float64) {
 	slowness := 1.0
 	if e.tokenGap > 0 {
@@ -109,6 +109,7 @@
 	}
 }
 
+// pipeline returns the pipeline for engines, or for plain services if there is no prompt.
 func (s *Scheduler) pipeline(it *item) *routing.Pipeline {
 	if it.req.PromptTokens > 0 {
 		return &s.cfg.Pipeline
--- a/pkg/scheduler/endpoint.go
+++ b/pkg/scheduler/endpoint.go
@@ -30,6 +30,8 @@
 	removed bool
 	breaker retry.Breaker
 
+	// ownProjection is the projected memory of this entry's requests, and peerLoad that of
+	// the peers' requests.
 	ownProjection lengths.Projection
 	ownRunning    int
 	peerLoad      lengths.Profile
@@ -64,7 +66,8 @@
 	tokenGap float64
 }
 
-// addProjection adds the projection of a request with sign 1 and removes it with sign -1.
+// addProjection adds the projection of a request to ownProjection with sign 1, and removes it
+// with sign -1.
 func (e *endpoint) addProjection(it *item, sign float64) {
 	for i := range it.projection.Mean {
 		e.ownProjection.Mean[i] += sign * it.projection.Mean[i]
@@ -189,8 +192,8 @@
 // another data centre.
 const maxSpilloverReportAge = 5 * time.Second
 
-// hasFreshReport reports whether the last report is recent enough to send requests from
-// another data centre. Plain services don't report their load, so they always qualify.
+// hasFreshReport reports whether the last report is recent enough to send requests to the
+// endpoint from another data centre. Plain services don't report their load, so they always qualify.
 func (e *endpoint) hasFreshReport(now time.Time) bool {
 	return e.spec.CapacityTokens == 0 || now.Sub(e.report.At) <= maxSpilloverReportAge
 }
--- a/pkg/scheduler/inflow.go
+++ b/pkg/scheduler/inflow.go
@@ -24,6 +24,7 @@
 	ownUrgentTokens float64
 }
 
+// decay reduces the counts by the time since the last update.
 func (f *inflow) decay(now time.Time) {
 	if f.updatedAt.IsZero() {
 		f.updatedAt = now
@@ -46,7 +47,8 @@
 	return perEngine * f.ownUrgentTokens / f.ownTokens
 }
 
-// countPromptTokens counts a prompt sent to an engine by any entry.
+// countPromptTokens counts a prompt sent to an engine by any entry, and returns the counts of
+// the engine's target.
 func (s *Scheduler) countPromptTokens(now time.Time, e *endpoint, tokens int) *inflow {
 	f := &s.queue(e.spec.Targets[0]).inflow
 	f.decay(now)
@@ -66,8 +68,8 @@
 }
 
 // availablePrefillRate returns how many tokens per second of prompts that aren't urgent an
-// engine of a target prefills beside the urgent prompts that keep coming; of all prompts
-// where engines prefill in order of arrival.
+// engine of a target prefills beside the urgent prompts that keep coming. Where engines
+// prefill in order of arrival, it is the rate for all prompts.
 func (s *Scheduler) availablePrefillRate(now time.Time, target string) float64 {
 	rate := s.readRate(target)
 	if s.cfg.FIFOPrefill {
--- a/pkg/scheduler/isolation.go
+++ b/pkg/scheduler/isolation.go
@@ -35,14 +35,15 @@
 
 // isolationAssignment holds the endpoints of a target at which isolated requests run.
 type isolationAssignment struct {
+	// byIdentity holds the endpoint of each isolated request.
 	byIdentity map[quarantine.Identity]*endpoint
 	// avoided are the endpoints that all other requests avoid.
 	avoided map[*endpoint]bool
 }
 
 // isolationFor assigns the isolated requests to the endpoints of a target that aren't
-// leaving. The assignment depends on the names of the endpoints only, so all entries choose
-// the same.
+// leaving. The assignment depends only on the identities of the requests and the names of
+// the endpoints, so all entries choose the same.
 func (s *Scheduler) isolationFor(targetName string) *isolationAssignment {
 	t := s.target(targetName)
 	if t.apart != nil {
