--- a/pkg/scheduler/burst_test.go
+++ b/pkg/scheduler/burst_test.go
@@ -25,27 +25,27 @@
 // 4 begin late, and the other requests are refused on arrival.
 func TestBurstMeetsStartObjective(t *testing.T) {
 	g := NewWithT(t)
-	totals := map[string]got{}
+	totals := map[string]tally{}
 	for _, version := range []string{"v9", "v10"} {
 		for seed := range uint64(5) {
-			p := newPlayed(version, seed)
-			p.play(12*time.Second, burstRate)
-			g.Expect(p.anyPressed()).To(Equal(version == "v10"), "only v10 detects the burst")
-			p.play(13*time.Second, func(elapsed time.Duration) float64 { return burstRate(elapsed + 12*time.Second) })
-			p.play(10*time.Second, func(time.Duration) float64 { return 0 })
-			long := p.got(false)
+			p := newSimulation(version, seed)
+			p.run(12*time.Second, burstRate)
+			g.Expect(p.anySaturated()).To(Equal(version == "v10"), "only v10 detects the burst")
+			p.run(13*time.Second, func(elapsed time.Duration) float64 { return burstRate(elapsed + 12*time.Second) })
+			p.run(10*time.Second, func(time.Duration) float64 { return 0 })
+			long := p.tally(false)
 			total := totals[version]
-			totals[version] = got{total.asked + long.asked, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
-			short := p.got(true)
+			totals[version] = tally{total.sent + long.sent, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
+			short := p.tally(true)
 			g.Expect(short.refused).To(BeZero(), "urgent prompts are prefilled first")
-			g.Expect(short.inTime).To(BeNumerically(">=", short.asked*95/100))
+			g.Expect(short.inTime).To(BeNumerically(">=", short.sent*95/100))
 			if version == "v10" {
-				p.expectNobodyHeld(g)
+				p.expectImmediateRefusals(g)
 			}
 		}
 	}
 	g.Expect(totals["v10"].inTime).To(BeNumerically(">=", totals["v9"].inTime*130/100))
-	g.Expect(totals["v10"].late).To(BeNumerically("<=", totals["v10"].asked*5/100))
+	g.Expect(totals["v10"].late).To(BeNumerically("<=", totals["v10"].sent*5/100))
 }
 
 // TestLightLoadIsNotRefused checks that EnforceStartObjective refuses no request while the
@@ -53,16 +53,16 @@
 func TestLightLoadIsNotRefused(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
-		p := newPlayed(scheduler.Forwarding, seed)
-		p.play(20*time.Second, func(time.Duration) float64 { return 3 })
+		p := newSimulation(scheduler.ForwardingVersion, seed)
+		p.run(20*time.Second, func(time.Duration) float64 { return 3 })
 		for _, s := range p.entries {
-			g.Expect(s.Pressed(p.now)).To(BeFalse())
+			g.Expect(s.Saturated(p.now)).To(BeFalse())
 		}
-		p.play(10*time.Second, func(time.Duration) float64 { return 0 })
+		p.run(10*time.Second, func(time.Duration) float64 { return 0 })
 		for _, urgent := range []bool{true, false} {
-			results := p.got(urgent)
+			results := p.tally(urgent)
 			g.Expect(results.refused).To(BeZero())
-			g.Expect(results.inTime).To(Equal(results.asked))
+			g.Expect(results.inTime).To(Equal(results.sent))
 		}
 	}
 }
@@ -88,13 +88,13 @@
 func TestFastEnginesDoNotCountAsBusy(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
-		p := newPlayed(scheduler.Forwarding, seed)
-		p.readRate = 2 * playedReadRate
-		p.play(20*time.Second, func(time.Duration) float64 { return 10 })
-		p.play(10*time.Second, func(time.Duration) float64 { return 0 })
-		long := p.got(false)
-		g.Expect(long.refused).To(BeNumerically("<=", long.asked/20))
-		g.Expect(long.inTime).To(BeNumerically(">=", long.asked*95/100))
+		p := newSimulation(scheduler.ForwardingVersion, seed)
+		p.prefillRate = 2 * simPrefillRate
+		p.run(20*time.Second, func(time.Duration) float64 { return 10 })
+		p.run(10*time.Second, func(time.Duration) float64 { return 0 })
+		long := p.tally(false)
+		g.Expect(long.refused).To(BeNumerically("<=", long.sent/20))
+		g.Expect(long.inTime).To(BeNumerically(">=", long.sent*95/100))
 	}
 }
 
@@ -105,15 +105,15 @@
 // without it (v12).
 func TestSlowPrefillIsLearned(t *testing.T) {
 	g := NewWithT(t)
-	totals := map[string]got{}
+	totals := map[string]tally{}
 	for _, version := range []string{"v12", "v13"} {
 		for seed := range uint64(5) {
-			p := newPlayed(version, seed)
-			p.readRate = 0.6 * playedReadRate
-			p.play(20*time.Second, func(time.Duration) float64 { return 6.5 })
-			p.play(20*time.Second, func(time.Duration) float64 { return 0 })
-			long, total := p.got(false), totals[version]
-			totals[version] = got{total.asked + long.asked, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
+			p := newSimulation(version, seed)
+			p.prefillRate = 0.6 * simPrefillRate
+			p.run(20*time.Second, func(time.Duration) float64 { return 6.5 })
+			p.run(20*time.Second, func(time.Duration) float64 { return 0 })
+			long, total := p.tally(false), totals[version]
+			totals[version] = tally{total.sent + long.sent, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
 		}
 	}
 	g.Expect(totals["v13"].inTime).To(BeNumerically(">=", totals["v12"].inTime*105/100))
@@ -128,7 +128,7 @@
 	s := newForwardingScheduler("dc0", 1)
 	endpoints := []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0")}
 	s.SetEndpoints(now, endpoints)
-	s.Report(now, scheduler.Report{Endpoint: "a", Incarnation: 1, At: now, UsedTokens: 30_000, CapacityTokens: 34_000, Running: 9})
+	s.Report(now, scheduler.Report{Endpoint: "a", Incarnation: 1, ReportedAt: now, UsedTokens: 30_000, CapacityTokens: 34_000, Running: 9})
 	s.SetEndpoints(now, append(endpoints, engine("c", "dc1")))
 	for _, st := range s.Status(now) {
 		if st.ID == "a" {
@@ -147,7 +147,7 @@
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
 	load := func() float64 { return s.Status(now)[0].Projected[0] }
 	report := func(used int) {
-		s.Report(now, scheduler.Report{Endpoint: "a", Incarnation: 1, At: now, UsedTokens: used, CapacityTokens: 34_000})
+		s.Report(now, scheduler.Report{Endpoint: "a", Incarnation: 1, ReportedAt: now, UsedTokens: used, CapacityTokens: 34_000})
 	}
 	report(10_000)
 	now = now.Add(time.Second)
@@ -170,25 +170,25 @@
 // and 118,490 with v14; of 721 urgent answers 721 and 704 begin in time.
 func TestFIFOPrefillStartsUrgentPromptsInTime(t *testing.T) {
 	g := NewWithT(t)
-	value, urgent := map[string]int{}, map[string]got{}
+	value, urgent := map[string]int{}, map[string]tally{}
 	for _, version := range []string{"v13", "v14"} {
 		for seed := range uint64(5) {
-			p := newPlayed(version, seed)
+			p := newSimulation(version, seed)
 			for _, e := range p.engines {
-				e.inTurn = true
+				e.fifo = true
 			}
-			p.play(25*time.Second, burstRate)
-			p.play(10*time.Second, func(time.Duration) float64 { return 0 })
-			long, short := p.got(false), p.got(true)
+			p.run(25*time.Second, burstRate)
+			p.run(10*time.Second, func(time.Duration) float64 { return 0 })
+			long, short := p.tally(false), p.tally(true)
 			value[version] += 190*long.inTime + 25*short.inTime
 			total := urgent[version]
-			urgent[version] = got{total.asked + short.asked, total.inTime + short.inTime, total.late + short.late, total.refused + short.refused}
+			urgent[version] = tally{total.sent + short.sent, total.inTime + short.inTime, total.late + short.late, total.refused + short.refused}
 			g.Expect(short.refused).To(BeZero(), "urgent requests are never refused")
 		}
 	}
 	t.Logf("value %v, urgent %+v", value, urgent)
 	g.Expect(value["v14"]).To(BeNumerically(">", value["v13"]))
-	g.Expect(urgent["v14"].inTime).To(BeNumerically(">=", urgent["v14"].asked*95/100), "urgent requests are starved")
+	g.Expect(urgent["v14"].inTime).To(BeNumerically(">=", urgent["v14"].sent*95/100), "urgent requests are starved")
 }
 
 // TestUrgentOvercommitUnderFIFOPrefill checks that an urgent prompt that fits nowhere goes to
@@ -204,8 +204,8 @@
 		s := scheduler.New(cfg)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("backlogged", "dc0"), engine("full", "dc0")})
 		s.PromptSent(now, "backlogged", 10_000)
-		s.Report(now, scheduler.Report{Endpoint: "full", Incarnation: 1, At: now, UsedTokens: 33_500, CapacityTokens: 34_000, Running: 9})
-		g.Expect(s.Submit(now, scheduler.Request{ID: 1, Kind: "check", Row: shortRow, PromptTokens: 2200, Arrived: now})).To(BeNil())
+		s.Report(now, scheduler.Report{Endpoint: "full", Incarnation: 1, ReportedAt: now, UsedTokens: 33_500, CapacityTokens: 34_000, Running: 9})
+		g.Expect(s.Submit(now, scheduler.Request{ID: 1, Kind: "check", Row: shortRow, PromptTokens: 2200, ArrivedAt: now})).To(BeNil())
 		dispatches := s.Next(now).Dispatches
 		g.Expect(dispatches).To(HaveLen(1), version)
 		g.Expect(dispatches[0].Endpoint.ID).To(Equal(want), version)
--- a/pkg/scheduler/choose.go
+++ b/pkg/scheduler/choose.go
@@ -17,18 +17,18 @@
 func (s *Scheduler) collectCandidates(now time.Time, targetName string) {
 	t := s.target(targetName)
 	s.candidates = s.candidates[:0]
-	typicalGap := s.typicalGap(now)
+	typicalGap := s.meanInterTokenLatency(now)
 	for _, e := range s.excludeIsolationEndpoints(now, targetName, t.homes) {
 		s.addCandidate(now, e, typicalGap)
 	}
 	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.local), s.cfg.LocalSampleSize, typicalGap)
 	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.remoteServices), s.cfg.RemoteSampleSize, typicalGap)
 	if !s.cfg.PeerLoadFromReports {
-		s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, s.remoteChoices(now, t)), s.cfg.RemoteSampleSize, typicalGap)
+		s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, s.remoteCandidates(now, t)), s.cfg.RemoteSampleSize, typicalGap)
 		return
 	}
-	s.reported = slices.DeleteFunc(s.reported, func(e *endpoint) bool { return e.removed || !e.hasFreshReport(now) })
-	for _, e := range s.reported {
+	s.reportedRemotes = slices.DeleteFunc(s.reportedRemotes, func(e *endpoint) bool { return e.removed || !e.hasFreshReport(now) })
+	for _, e := range s.reportedRemotes {
 		if slices.Contains(e.spec.Targets, targetName) {
 			s.addCandidate(now, e, typicalGap)
 		}
@@ -58,7 +58,7 @@
 		Index:          e.index,
 		ServesTarget:   true,
 		Leaving:        e.leaving,
-		BreakerOpen:    !s.takes(now, e),
+		BreakerOpen:    !s.accepts(now, e),
 		Local:          e.spec.DataCenter == s.cfg.DataCenter,
 		Slowness:       slowness,
 		PrefillBacklog: s.prefillBacklog(now, e),
@@ -103,9 +103,9 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		e := s.endpoints[c.Index]
-		c.ServesTarget = it.req.mayServe(e)
+		c.ServesTarget = it.req.allowsEndpoint(e)
 		c.Utilization = e.utilization(&it.projection, it.req.Urgent(), s.fitParams(e.unattributedLoad(now)))
-		c.Fits = s.fits(now, c, e, it) && s.beginsInTime(now, c.PrefillBacklog, it)
+		c.Fits = s.fits(now, c, e, it) && s.startsInTime(now, c.PrefillBacklog, it)
 	}
 }
 
@@ -123,7 +123,7 @@
 		return s.isolationEndpoint(now, it)
 	}
 	// The routing request is a field because a local variable would escape to the heap.
-	r := &s.request
+	r := &s.routingRequest
 	*r = routing.Request{Urgent: it.req.Urgent(), ExcludedIndex: routing.None}
 	if e := s.byID[it.req.Avoid]; e != nil && len(s.candidates) > 1 {
 		r.ExcludedIndex = e.index
--- a/pkg/scheduler/cold.go
+++ b/pkg/scheduler/cold.go
@@ -20,7 +20,9 @@
 
 // SetEntryRank sets the rank of this entry among all entries, from zero, and their number.
 // They determine its share of the rate limits of cold endpoints.
-func (s *Scheduler) SetEntryRank(rank, entries int) { s.rank, s.entries = rank, max(entries, 1) }
+func (s *Scheduler) SetEntryRank(rank, entries int) {
+	s.entryRank, s.entryCount = rank, max(entries, 1)
+}
 
 // updateWarmUp marks the endpoint as cold if its spec in a new endpoint list differs from
 // the previous spec, which is zero for a new endpoint: another instance, another warm-up
@@ -55,7 +57,7 @@
 // coldRateShare returns how many requests per second this entry may send to a cold
 // endpoint.
 func (s *Scheduler) coldRateShare(e *endpoint) int {
-	entries := max(s.entries, 1)
+	entries := max(s.entryCount, 1)
 	perEntry := int(e.spec.Cold.PerSecond) / entries
 	remainder := int(e.spec.Cold.PerSecond) % entries
 	if s.rotatedRank(e, entries) < remainder {
@@ -70,7 +72,7 @@
 	h := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(e.spec.ID))
-	return (s.rank + int(h.Sum32()%uint32(entries))) % entries
+	return (s.entryRank + int(h.Sum32()%uint32(entries))) % entries
 }
 
 // recordColdSend counts a request sent to the endpoint while it is cold.
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -138,8 +138,8 @@
 	c.PriorHazard = cmp.Or(c.PriorHazard, lengths.PriorHazard)
 	c.DrainRateSmoothing = cmp.Or(c.DrainRateSmoothing, DefaultDrainRateSmoothing)
 	c.DisplaceRatio = cmp.Or(c.DisplaceRatio, DefaultDisplaceRatio)
-	c.LocalSampleSize = cmp.Or(c.LocalSampleSize, sampleLocal)
-	c.RemoteSampleSize = cmp.Or(c.RemoteSampleSize, sampleRemote)
+	c.LocalSampleSize = cmp.Or(c.LocalSampleSize, defaultLocalChoices)
+	c.RemoteSampleSize = cmp.Or(c.RemoteSampleSize, defaultRemoteChoices)
 	if c.DisableSampling {
 		c.LocalSampleSize, c.RemoteSampleSize = unlimitedSampleSize, unlimitedSampleSize
 	}
--- a/pkg/scheduler/endpoint.go
+++ b/pkg/scheduler/endpoint.go
@@ -48,7 +48,7 @@
 	promptTokensSent float64
 
 	// peerPendingPrefill are the prompts of peers that the engine has yet to prefill.
-	peerPendingPrefill unreadPrompts
+	peerPendingPrefill pendingPrompts
 	// unreportedPrompts are the prompts that peers announced and that no report shows
 	// yet, oldest first.
 	unreportedPrompts []peerPrompt
@@ -116,8 +116,8 @@
 // sent, or those of the requests that the last report shows as waiting, whichever is more.
 // The weight of a report decreases linearly to zero as it ages to unattributedLoadTTL.
 func (s *Scheduler) prefillBacklog(now time.Time, e *endpoint) float64 {
-	counted := s.unreadOf(now, e)
-	age := now.Sub(e.report.At)
+	counted := s.pendingPrefillTokens(now, e)
+	age := now.Sub(e.report.ReportedAt)
 	if age > unattributedLoadTTL {
 		return counted
 	}
@@ -181,7 +181,7 @@
 // observeReport records a report. Load above that of all known entries counts for a while
 // as unattributed: it comes from entries that have ended or that haven't sent their shares.
 func (e *endpoint) observeReport(r Report) {
-	if !r.At.After(e.report.At) {
+	if !r.ReportedAt.After(e.report.ReportedAt) {
 		return
 	}
 	e.report = r
@@ -195,7 +195,7 @@
 // hasFreshReport reports whether the last report is recent enough to send requests to the
 // endpoint from another data centre. Plain services don't report their load, so they always qualify.
 func (e *endpoint) hasFreshReport(now time.Time) bool {
-	return e.spec.CapacityTokens == 0 || now.Sub(e.report.At) <= maxSpilloverReportAge
+	return e.spec.CapacityTokens == 0 || now.Sub(e.report.ReportedAt) <= maxSpilloverReportAge
 }
 
 // assumedSharers is the number of entries assumed to share the free capacity that a report
@@ -216,7 +216,7 @@
 // observeReportAsPeerLoad records a report as the sum of all entries' load. Load that isn't
 // this entry's own is peer load, and is projected to grow like the entry's own load.
 func (e *endpoint) observeReportAsPeerLoad(r Report) {
-	if !r.At.After(e.report.At) {
+	if !r.ReportedAt.After(e.report.ReportedAt) {
 		return
 	}
 	e.report = r
@@ -246,7 +246,7 @@
 // unattributedLoad returns the reported load in tokens that no entry accounts for; it
 // decreases linearly to zero within unattributedLoadTTL.
 func (e *endpoint) unattributedLoad(now time.Time) float64 {
-	age := now.Sub(e.report.At)
+	age := now.Sub(e.report.ReportedAt)
 	if e.unattributedTokens == 0 || age > unattributedLoadTTL {
 		return 0
 	}
--- a/pkg/scheduler/forwarding_test.go
+++ b/pkg/scheduler/forwarding_test.go
@@ -22,7 +22,7 @@
 
 // newForwardingScheduler returns a scheduler with the configuration of the Forwarding version.
 func newForwardingScheduler(dataCenter string, seed uint64) *scheduler.Scheduler {
-	cfg := scheduler.Version(scheduler.Forwarding)
+	cfg := scheduler.Version(scheduler.ForwardingVersion)
 	cfg.DataCenter = dataCenter
 	cfg.Rand = rand.New(rand.NewPCG(seed, seed))
 	return scheduler.New(cfg)
@@ -37,7 +37,7 @@
 // plainRequest returns a request for a plain service.
 func plainRequest(id int, now time.Time) scheduler.Request {
 	return scheduler.Request{
-		ID: scheduler.ID(id), Kind: "plain", Arrived: now,
+		ID: scheduler.ID(id), Kind: "plain", ArrivedAt: now,
 		Row: table.Row{Target: "desk", Weight: 1, Priority: 3, MaxInFlight: 1000, MaxQueued: 1000, MaxQueueTime: time.Second, Timeout: time.Second},
 	}
 }
@@ -45,7 +45,7 @@
 // longRequest returns a request with a long prompt that isn't urgent.
 func longRequest(id int, now time.Time) scheduler.Request {
 	return scheduler.Request{
-		ID: scheduler.ID(id), Kind: "k", PromptTokens: 3000, MaxTokens: 1000, Arrived: now,
+		ID: scheduler.ID(id), Kind: "k", PromptTokens: 3000, MaxTokens: 1000, ArrivedAt: now,
 		Row: table.Row{Target: "m", Weight: 1, Priority: 6, MaxInFlight: 1000, MaxQueued: 1000, MaxQueueTime: 5 * time.Second, Timeout: 40 * time.Second},
 	}
 }
@@ -67,7 +67,7 @@
 		s := newForwardingScheduler(fmt.Sprintf("dc%d", n%3), uint64(n))
 		s.SetEndpoints(now, endpoints)
 		for _, e := range endpoints[:12] {
-			s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, At: now, UsedTokens: 14000, CapacityTokens: 34000})
+			s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, ReportedAt: now, UsedTokens: 14000, CapacityTokens: 34000})
 		}
 		g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 		for _, d := range s.Next(now).Dispatches {
@@ -114,7 +114,7 @@
 		}
 		for range 4 {
 			if prefilled {
-				s.PromptRead(now.Add(delay), "a", 3000)
+				s.PromptPrefilled(now.Add(delay), "a", 3000)
 			}
 		}
 		sentTo := map[string]int{}
@@ -183,7 +183,7 @@
 		s.Finish(now, scheduler.ID(id), scheduler.Result{Complete: true})
 	}
 	// Probes are sent one at a time; an answer closes the breaker of the data centre.
-	g.Expect(s.Reach()).To(Equal(scheduler.Reach{Lost: []string{"dc1"}, CutOff: true}))
+	g.Expect(s.Reachability()).To(Equal(scheduler.Reachability{Unreachable: []string{"dc1"}, CutOff: true}))
 	now = now.Add(time.Minute)
 	s.SetLeaving("near", true)
 	g.Expect(send()).To(HavePrefix("far"))
@@ -193,7 +193,7 @@
 	g.Expect(s.Next(now).Dispatches).To(BeEmpty(), "the second probe waits for the first one")
 	s.Finish(now, probe, scheduler.Result{Complete: true})
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
-	g.Expect(s.Reach()).To(Equal(scheduler.Reach{}))
+	g.Expect(s.Reachability()).To(Equal(scheduler.Reachability{}))
 }
 
 // TestTargetWithoutEndpointsIsNotOutOfReach checks that a target without any endpoint doesn't
@@ -203,12 +203,12 @@
 	now := time.Unix(0, 0)
 	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{service("far", "dc1")})
-	g.Expect(s.OutOfReach("desk")).To(BeFalse())
+	g.Expect(s.TargetUnreachable("desk")).To(BeFalse())
 	g.Expect(s.Submit(now, plainRequest(1, now))).To(BeNil())
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 	s.Finish(now, 1, scheduler.Result{Failed: true, Unreachable: true})
-	g.Expect(s.OutOfReach("desk")).To(BeTrue())
-	g.Expect(s.OutOfReach("nowhere")).To(BeFalse())
+	g.Expect(s.TargetUnreachable("desk")).To(BeTrue())
+	g.Expect(s.TargetUnreachable("nowhere")).To(BeFalse())
 }
 
 // TestFirstTokenEndsProbe checks that the first token of a probe closes the breakers of its
@@ -347,7 +347,7 @@
 			s.SetChoices(sampleSize, 1)
 			s.SetEndpoints(now, endpoints)
 			for i, e := range endpoints {
-				s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, At: now, UsedTokens: 1500 * i, CapacityTokens: 34000})
+				s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, ReportedAt: now, UsedTokens: 1500 * i, CapacityTokens: 34000})
 			}
 			g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 			for _, d := range s.Next(now).Dispatches {
--- a/pkg/scheduler/inflow.go
+++ b/pkg/scheduler/inflow.go
@@ -71,12 +71,12 @@
 // engine of a target prefills beside the urgent prompts that keep coming. Where engines
 // prefill in order of arrival, it is the rate for all prompts.
 func (s *Scheduler) availablePrefillRate(now time.Time, target string) float64 {
-	rate := s.readRate(target)
+	rate := s.prefillRate(target)
 	if s.cfg.FIFOPrefill {
-		return s.queue(target).paced(rate, rate)
+		return s.queue(target).capPrefillRate(rate, rate)
 	}
 	t := s.target(target)
 	engines := len(t.homes) + len(t.local)
 	urgentRate := s.queue(target).inflow.urgentTokenRate(now, engines)
-	return s.queue(target).paced(rate-min(urgentRate, maxUrgentShare*rate), rate)
+	return s.queue(target).capPrefillRate(rate-min(urgentRate, maxUrgentShare*rate), rate)
 }
--- a/pkg/scheduler/instance_test.go
+++ b/pkg/scheduler/instance_test.go
@@ -39,7 +39,7 @@
 
 // fullReport returns a report of an engine with full memory and many waiting prompts.
 func fullReport(reportedAt time.Time, incarnation uint64) scheduler.Report {
-	return scheduler.Report{Endpoint: "a", Incarnation: incarnation, At: reportedAt, UsedTokens: 34_000, CapacityTokens: 34_000, Running: 24, Waiting: 9}
+	return scheduler.Report{Endpoint: "a", Incarnation: incarnation, ReportedAt: reportedAt, UsedTokens: 34_000, CapacityTokens: 34_000, Running: 24, Waiting: 9}
 }
 
 // expectNoState checks that the scheduler has no load or state for the first endpoint.
@@ -64,13 +64,13 @@
 	later := now.Add(100 * time.Millisecond)
 	s.Report(later, fullReport(later, firstIncarnation))
 	expectNoState(g, s, later, "after a stale report")
-	s.TakeLoad(later, scheduler.Load{Report: fullReport(later, firstIncarnation), Unread: 9000})
+	s.SetRemoteLoad(later, scheduler.Load{Report: fullReport(later, firstIncarnation), PendingPrefillTokens: 9000})
 	expectNoState(g, s, later, "after a stale load from another data centre")
 	s.Progress(later, 1, 40)
 	s.Finish(later, 1, scheduler.Result{Failed: true, Unreachable: true})
 	expectNoState(g, s, later, "after the end of a request at the previous instance")
-	g.Expect(s.OutOfReach("m")).To(BeFalse(), "the failure is that of the previous instance")
-	g.Expect(sendsTo(g, s, later, 1)).To(Equal(map[string]int{"a": 1}))
+	g.Expect(s.TargetUnreachable("m")).To(BeFalse(), "the failure is that of the previous instance")
+	g.Expect(submitAndCount(g, s, later, 1)).To(Equal(map[string]int{"a": 1}))
 
 	s.Report(later, fullReport(later, secondIncarnation))
 	g.Expect(s.Status(later)[0].PeersRunning).To(BeNumerically(">", 0), "a report of the new instance counts")
@@ -85,9 +85,9 @@
 	now := time.Unix(1000, 0)
 	s := newForwardingScheduler("far", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engineInstance("a", secondIncarnation)})
-	s.TakeLoad(now, scheduler.Load{Report: fullReport(now, firstIncarnation), Unread: 9000})
+	s.SetRemoteLoad(now, scheduler.Load{Report: fullReport(now, firstIncarnation), PendingPrefillTokens: 9000})
 	expectNoState(g, s, now, "after a stale load")
-	s.TakeLoad(now, scheduler.Load{Report: fullReport(now, secondIncarnation), Unread: 9000})
+	s.SetRemoteLoad(now, scheduler.Load{Report: fullReport(now, secondIncarnation), PendingPrefillTokens: 9000})
 	g.Expect(s.Status(now)[0].Backlog).To(BeNumerically(">=", 9000))
 }
 
--- a/pkg/scheduler/isolation.go
+++ b/pkg/scheduler/isolation.go
@@ -18,10 +18,10 @@
 
 // SetIsolatedRequests replaces the set of requests to isolate.
 func (s *Scheduler) SetIsolatedRequests(requests []quarantine.KeptApart) {
-	if len(requests) == 0 && len(s.apart) == 0 {
+	if len(requests) == 0 && len(s.isolated) == 0 {
 		return
 	}
-	s.apart = requests
+	s.isolated = requests
 	s.resetIsolation()
 }
 
@@ -29,7 +29,7 @@
 // chosen again.
 func (s *Scheduler) resetIsolation() {
 	for _, t := range s.targets {
-		t.apart = nil
+		t.isolation = nil
 	}
 }
 
@@ -46,39 +46,39 @@
 // the endpoints, so all entries choose the same.
 func (s *Scheduler) isolationFor(targetName string) *isolationAssignment {
 	t := s.target(targetName)
-	if t.apart != nil {
-		return t.apart
+	if t.isolation != nil {
+		return t.isolation
 	}
-	endpoints := slices.SortedFunc(s.staying(targetName), func(a, b *endpoint) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+	endpoints := slices.SortedFunc(s.notLeaving(targetName), func(a, b *endpoint) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 	names := make([]string, len(endpoints))
 	for i, e := range endpoints {
 		names[i] = e.spec.ID
 	}
-	t.apart = &isolationAssignment{byIdentity: map[quarantine.Identity]*endpoint{}, avoided: map[*endpoint]bool{}}
-	assigned := quarantine.Assign(s.apart, names)
-	for _, r := range s.apart {
+	t.isolation = &isolationAssignment{byIdentity: map[quarantine.Identity]*endpoint{}, avoided: map[*endpoint]bool{}}
+	assigned := quarantine.Assign(s.isolated, names)
+	for _, r := range s.isolated {
 		if i, ok := assigned[r.Identity]; ok {
-			t.apart.byIdentity[r.Identity] = endpoints[i]
-			t.apart.avoided[endpoints[i]] = t.apart.avoided[endpoints[i]] || r.Avoided
+			t.isolation.byIdentity[r.Identity] = endpoints[i]
+			t.isolation.avoided[endpoints[i]] = t.isolation.avoided[endpoints[i]] || r.Avoided
 		}
 	}
-	return t.apart
+	return t.isolation
 }
 
 // isIsolated reports whether a request has an isolation endpoint that it may use.
 func (s *Scheduler) isIsolated(it *item) bool {
-	if len(s.apart) == 0 || it.req.Identity == nil {
+	if len(s.isolated) == 0 || it.req.Identity == nil {
 		return false
 	}
 	assigned, isolated := s.isolationFor(it.req.Row.Target).byIdentity[it.req.Identity()]
-	return isolated && it.req.mayServe(assigned)
+	return isolated && it.req.allowsEndpoint(assigned)
 }
 
 // isolationEndpoint returns the endpoint assigned to an isolated request, or nil while that
 // endpoint can't take requests.
 func (s *Scheduler) isolationEndpoint(now time.Time, it *item) *endpoint {
 	assigned := s.isolationFor(it.req.Row.Target).byIdentity[it.req.Identity()]
-	if assigned.leaving || !s.takes(now, assigned) {
+	if assigned.leaving || !s.accepts(now, assigned) {
 		return nil
 	}
 	return assigned
@@ -87,11 +87,11 @@
 // excludeIsolationEndpoints removes the endpoints that other requests avoid, if any other
 // endpoint of the target can take requests.
 func (s *Scheduler) excludeIsolationEndpoints(now time.Time, target string, endpoints []*endpoint) []*endpoint {
-	if len(s.apart) == 0 {
+	if len(s.isolated) == 0 {
 		return endpoints
 	}
 	avoided := s.isolationFor(target).avoided
-	usable := func(e *endpoint) bool { return !avoided[e] && !e.leaving && s.allowed(now, e) }
+	usable := func(e *endpoint) bool { return !avoided[e] && !e.leaving && s.breakersAllow(now, e) }
 	if !s.any(target, usable) {
 		return endpoints
 	}
--- a/pkg/scheduler/mechanisms_test.go
+++ b/pkg/scheduler/mechanisms_test.go
@@ -15,7 +15,7 @@
 func TestDisabledMechanisms(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	full := scheduler.Version(scheduler.Forwarding)
+	full := scheduler.Version(scheduler.ForwardingVersion)
 	for _, m := range scheduler.Mechanisms() {
 		cfg := full.Disable(m)
 		cfg.DataCenter = "dc0"
@@ -33,7 +33,7 @@
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	for _, disabled := range []scheduler.Mechanism{"", scheduler.Breakers} {
-		cfg := scheduler.Version(scheduler.Forwarding).Disable(disabled)
+		cfg := scheduler.Version(scheduler.ForwardingVersion).Disable(disabled)
 		cfg.DataCenter = "dc0"
 		s := scheduler.New(cfg)
 		s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0")})
--- a/pkg/scheduler/peerload.go
+++ b/pkg/scheduler/peerload.go
@@ -37,11 +37,11 @@
 // observeReportWithNotices records a report. Load that isn't this entry's own is peer load,
 // to which the prompts are added that peers announced after the report was made.
 func (e *endpoint) observeReportWithNotices(r Report) {
-	if !r.At.After(e.report.At) {
+	if !r.ReportedAt.After(e.report.ReportedAt) {
 		return
 	}
 	e.report = r
-	madeAt := r.At.Add(-reportLag)
+	madeAt := r.ReportedAt.Add(-reportLag)
 	for len(e.unreportedPrompts) > 0 && e.unreportedPrompts[0].announcedAt.Before(madeAt) {
 		e.unreportedPrompts = e.unreportedPrompts[1:]
 	}
