--- a/internal/evacuate/input.go
+++ b/internal/evacuate/input.go
@@ -39,7 +39,7 @@
 
 // input asks the engines for their runs, all at the same time.
 func (e *Evacuator) input(ctx context.Context, group []fleet.Endpoint, mine map[string]*relay.Session) evacuation.Input {
-	in := evacuation.Input{Sources: make([]evacuation.Source, len(group)), Targets: e.targets(group), NoSlack: e.cfg.Off.CopySlack}
+	in := evacuation.Input{Sources: make([]evacuation.Source, len(group)), Targets: e.targets(group), DisableSlack: e.cfg.Off.CopySlack}
 	var reports sync.WaitGroup
 	for i, source := range group {
 		service, ok := e.cfg.Service(source.Targets[0])
@@ -63,7 +63,7 @@
 		ID:         at.ID,
 		DataCenter: at.DataCenter,
 		Runs:       runs(report, mine, at.ID, engine.TokensPerEvent),
-		Left:       left(report),
+		Remaining:  left(report),
 	}
 }
 
@@ -72,7 +72,7 @@
 	for _, source := range in.Sources {
 		mine, planned := 0, 0
 		for _, r := range source.Runs {
-			if r.Mine {
+			if r.Local {
 				mine++
 			}
 		}
@@ -82,7 +82,7 @@
 			}
 		}
 		e.cfg.Log.Info("evacuation", "endpoint", source.ID, "mine", mine, "runs", len(source.Runs),
-			"targets", len(in.Targets), "steps", planned, "left_ms", source.Left.Milliseconds())
+			"targets", len(in.Targets), "steps", planned, "left_ms", source.Remaining.Milliseconds())
 	}
 }
 
@@ -106,11 +106,11 @@
 	for _, r := range report.Runs {
 		listed[r.RequestID] = true
 		made := min(r.Events*perEvent, r.Tokens)
-		out = append(out, evacuation.Run{RequestID: r.RequestID, Tokens: r.Tokens, Made: made, Mine: mine[r.RequestID] != nil})
+		out = append(out, evacuation.Run{RequestID: r.RequestID, Tokens: r.Tokens, OutputTokens: made, Local: mine[r.RequestID] != nil})
 	}
 	for id, s := range mine {
 		if !listed[id] && s.Endpoint().ID == at {
-			out = append(out, evacuation.Run{RequestID: id, Tokens: s.Tokens(perEvent), Mine: true, Unlisted: true})
+			out = append(out, evacuation.Run{RequestID: id, Tokens: s.Tokens(perEvent), Local: true, Unlisted: true})
 		}
 	}
 	return out
@@ -126,10 +126,10 @@
 
 func link(engine *table.Engine) evacuation.Link {
 	return evacuation.Link{
-		BytesPerToken:  engine.KVBytesPerToken,
-		BytesPerSecond: engine.LinkBitsPerSecond / bitsPerByte,
-		Overhead:       overhead,
-		FarFactor:      farFactor,
+		BytesPerToken:         engine.KVBytesPerToken,
+		BytesPerSecond:        engine.LinkBitsPerSecond / bitsPerByte,
+		Overhead:              overhead,
+		CrossDataCenterFactor: farFactor,
 	}
 }
 
--- a/pkg/evacuation/evacuation_test.go
+++ b/pkg/evacuation/evacuation_test.go
@@ -14,11 +14,11 @@
 
 func init() { fixedseed.Set() }
 
-var link = evacuation.Link{BytesPerToken: 1000, BytesPerSecond: 10e6, Overhead: 10 * time.Millisecond, FarFactor: 2}
+var link = evacuation.Link{BytesPerToken: 1000, BytesPerSecond: 10e6, Overhead: 10 * time.Millisecond, CrossDataCenterFactor: 2}
 
-// TestPlansOfAllEntriesFitTogether: entries that know the same list of runs plan
-// copies that never overlap on the source's link, and none twice.
-func TestPlansOfAllEntriesFitTogether(t *testing.T) {
+// TestEntriesPlanDisjointCopies: entries with the same list of runs plan copies that never overlap on
+// a link, and no run twice.
+func TestEntriesPlanDisjointCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 4).Draw(t, "entries")
 		owner := map[string]int{}
@@ -28,19 +28,19 @@
 			id := fmt.Sprintf("r%d", i)
 			owner[id] = rapid.IntRange(0, entries-1).Draw(t, "owner")
 			tokens[id] = rapid.IntRange(100, 7000).Draw(t, "tokens")
-			all = append(all, evacuation.Run{RequestID: id, Tokens: tokens[id], Made: rapid.IntRange(0, tokens[id]).Draw(t, "made")})
+			all = append(all, evacuation.Run{RequestID: id, Tokens: tokens[id], OutputTokens: rapid.IntRange(0, tokens[id]).Draw(t, "made")})
 		}
-		far := map[string]bool{}
+		crossDataCenter := map[string]bool{}
 		var targets []evacuation.Target
 		for i := range rapid.IntRange(0, 5).Draw(t, "targets") {
 			id := fmt.Sprintf("t%d", i)
-			at := "here"
-			if far[id] = rapid.Bool().Draw(t, "far"); far[id] {
-				at = "there"
+			dataCenter := "here"
+			if crossDataCenter[id] = rapid.Bool().Draw(t, "far"); crossDataCenter[id] {
+				dataCenter = "there"
 			}
-			targets = append(targets, evacuation.Target{ID: id, DataCenter: at, FreeTokens: rapid.IntRange(0, 20000).Draw(t, "free")})
+			targets = append(targets, evacuation.Target{ID: id, DataCenter: dataCenter, FreeTokens: rapid.IntRange(0, 20000).Draw(t, "free")})
 		}
-		left := time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond
+		remaining := time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond
 		type span struct {
 			from, to time.Duration
 			links    [2]string
@@ -49,49 +49,49 @@
 		moved := map[string]bool{}
 		used := map[string]int{}
 		for e := range entries {
-			sources := []evacuation.Source{{ID: "s0", DataCenter: "here", Left: left}, {ID: "s1", DataCenter: "here", Left: left}}
+			sources := []evacuation.Source{{ID: "s0", DataCenter: "here", Remaining: remaining}, {ID: "s1", DataCenter: "here", Remaining: remaining}}
 			for i, r := range all {
-				r.Mine = owner[r.RequestID] == e
+				r.Local = owner[r.RequestID] == e
 				s := &sources[i%len(sources)]
 				s.Runs = append(s.Runs, r)
 			}
 			for _, s := range evacuation.Plan(evacuation.Input{Sources: sources, Targets: targets, Link: link}) {
 				if owner[s.RequestID] != e || moved[s.RequestID] {
-					t.Fatalf("%s is planned by entry %d", s.RequestID, e)
+					t.Fatalf("entry %[2]d plans %[1]s, which it doesn't own or which is planned already", s.RequestID, e)
 				}
 				moved[s.RequestID] = true
 				used[s.Target] += tokens[s.RequestID]
-				end := s.Start + link.Time(tokens[s.RequestID], far[s.Target])
+				end := s.Start + link.CopyTime(tokens[s.RequestID], crossDataCenter[s.Target])
 				spans = append(spans, span{s.Start, end, [2]string{s.Source, s.Target}})
 			}
 		}
 		for i, a := range spans {
-			if left > 0 && a.to > left {
-				t.Fatalf("a copy ends at %v, the source at %v", a.to, left)
+			if remaining > 0 && a.to > remaining {
+				t.Fatalf("a copy ends at %v, after the source at %v", a.to, remaining)
 			}
 			for _, b := range spans[i+1:] {
-				share := a.links[0] == b.links[0] || a.links[1] == b.links[1]
-				if share && a.from < b.to && b.from < a.to {
+				sharesLink := a.links[0] == b.links[0] || a.links[1] == b.links[1]
+				if sharesLink && a.from < b.to && b.from < a.to {
 					t.Fatalf("%v and %v overlap", a, b)
 				}
 			}
 		}
 		for _, target := range targets {
 			if used[target.ID] > target.FreeTokens {
-				t.Fatalf("%s gets %d tokens, has room for %d", target.ID, used[target.ID], target.FreeTokens)
+				t.Fatalf("%s is assigned %d tokens, but has memory for %d", target.ID, used[target.ID], target.FreeTokens)
 			}
 		}
 	})
 }
 
-// TestEnginesThatLeaveTogetherUseDifferentTargets: one plan for both, so that no
-// link has to take the copies of two.
-func TestEnginesThatLeaveTogetherUseDifferentTargets(t *testing.T) {
+// TestEnginesLeavingTogetherUseDifferentTargets: one plan covers both engines, so that no link
+// carries the copies of two.
+func TestEnginesLeavingTogetherUseDifferentTargets(t *testing.T) {
 	g := NewWithT(t)
 	steps := evacuation.Plan(evacuation.Input{
 		Sources: []evacuation.Source{
-			{ID: "s1", Runs: []evacuation.Run{{RequestID: "a", Tokens: 1000, Mine: true}}},
-			{ID: "s2", Runs: []evacuation.Run{{RequestID: "b", Tokens: 1000, Mine: true}}},
+			{ID: "s1", Runs: []evacuation.Run{{RequestID: "a", Tokens: 1000, Local: true}}},
+			{ID: "s2", Runs: []evacuation.Run{{RequestID: "b", Tokens: 1000, Local: true}}},
 		},
 		Targets: []evacuation.Target{{ID: "t1", FreeTokens: 5000}, {ID: "t2", FreeTokens: 5000}},
 		Link:    link,
@@ -102,15 +102,15 @@
 	g.Expect(steps[1].Start).To(BeZero())
 }
 
-func TestWhatIsWorthMostPerCopiedTokenGoesFirst(t *testing.T) {
+func TestHighestValuePerTokenGoesFirst(t *testing.T) {
 	g := NewWithT(t)
 	steps := evacuation.Plan(evacuation.Input{
 		Link: link,
 		Sources: []evacuation.Source{{ID: "s", Runs: []evacuation.Run{
-			{RequestID: "long prompt", Tokens: 6000, Mine: true},
-			{RequestID: "long answer", Tokens: 4600, Made: 1600, Mine: true},
-			{RequestID: "short prompt", Tokens: 1500, Mine: true},
-			{RequestID: "not listed", Tokens: 500, Mine: true, Unlisted: true},
+			{RequestID: "long prompt", Tokens: 6000, Local: true},
+			{RequestID: "long answer", Tokens: 4600, OutputTokens: 1600, Local: true},
+			{RequestID: "short prompt", Tokens: 1500, Local: true},
+			{RequestID: "not listed", Tokens: 500, Local: true, Unlisted: true},
 		}}},
 		Targets: []evacuation.Target{{ID: "t", FreeTokens: 20000}},
 	})
@@ -121,41 +121,40 @@
 	g.Expect(order).To(Equal([]string{"short prompt", "long answer", "long prompt", "not listed"}))
 }
 
-// TestCopiesHaveSlackWhileThereIsTime: entries that begin some ten milliseconds apart
-// must not get into each other's way. (Without slack a fifth of the pauses of 85
-// entries was above 200 ms.)
-func TestCopiesHaveSlackWhileThereIsTime(t *testing.T) {
+// TestSlackWhenTimeAllows: copies of entries that begin some ten milliseconds apart must not overlap.
+// Without slack, a fifth of the pauses at 85 entries exceeded 200 ms.
+func TestSlackWhenTimeAllows(t *testing.T) {
 	g := NewWithT(t)
-	plan := func(runs int, left time.Duration) []evacuation.Step {
-		s := evacuation.Source{ID: "s", Left: left}
+	plan := func(runs int, remaining time.Duration) []evacuation.Step {
+		s := evacuation.Source{ID: "s", Remaining: remaining}
 		for i := range runs {
-			s.Runs = append(s.Runs, evacuation.Run{RequestID: fmt.Sprintf("r%d", i), Tokens: 1000, Mine: true})
+			s.Runs = append(s.Runs, evacuation.Run{RequestID: fmt.Sprintf("r%d", i), Tokens: 1000, Local: true})
 		}
 		return evacuation.Plan(evacuation.Input{
 			Sources: []evacuation.Source{s}, Link: link, Targets: []evacuation.Target{{ID: "t", FreeTokens: 100_000}},
 		})
 	}
-	one := link.Time(1000, false)
+	copyTime := link.CopyTime(1000, false)
 	few := plan(3, 2*time.Second)
-	g.Expect(few[1].Start).To(Equal(one + 80*time.Millisecond))
-	many := plan(3, 3*one)
+	g.Expect(few[1].Start).To(Equal(copyTime + 80*time.Millisecond))
+	many := plan(3, 3*copyTime)
 	g.Expect(many).To(HaveLen(3))
-	g.Expect(many[1].Start).To(Equal(one))
-	g.Expect(plan(10, 3*one)).To(HaveLen(3), "what can't be moved in time isn't begun")
+	g.Expect(many[1].Start).To(Equal(copyTime))
+	g.Expect(plan(10, 3*copyTime)).To(HaveLen(3), "runs that can't be moved in time are not planned")
 }
 
-func TestNearTargetsGoFirst(t *testing.T) {
+func TestSameDataCenterTargetsGoFirst(t *testing.T) {
 	g := NewWithT(t)
 	steps := evacuation.Plan(evacuation.Input{
 		Link: link,
 		Sources: []evacuation.Source{{ID: "s", DataCenter: "here", Runs: []evacuation.Run{
-			{RequestID: "a", Tokens: 900, Mine: true}, {RequestID: "b", Tokens: 1000, Mine: true},
+			{RequestID: "a", Tokens: 900, Local: true}, {RequestID: "b", Tokens: 1000, Local: true},
 		}}},
 		Targets: []evacuation.Target{{ID: "far", DataCenter: "there", FreeTokens: 5000}, {ID: "near", DataCenter: "here", FreeTokens: 1500}},
 	})
 	g.Expect(steps).To(HaveLen(2))
 	g.Expect(steps[0].Target).To(Equal("near"))
-	g.Expect(steps[1].Target).To(Equal("far"), "the near one is full")
-	alone := []evacuation.Source{{ID: "s", Runs: []evacuation.Run{{RequestID: "a", Tokens: 1, Mine: true}}}}
-	g.Expect(evacuation.Plan(evacuation.Input{Sources: alone})).To(BeEmpty())
+	g.Expect(steps[1].Target).To(Equal("far"), "the target in the same data centre is full")
+	sources := []evacuation.Source{{ID: "s", Runs: []evacuation.Run{{RequestID: "a", Tokens: 1, Local: true}}}}
+	g.Expect(evacuation.Plan(evacuation.Input{Sources: sources})).To(BeEmpty())
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -62,7 +62,7 @@
 mutant "moves: nothing moved that begins late" internal/gateway/parts.go 's/g.evacuator.Begun(g.work, at)//' "./internal/gateway -run TestGenerations"
 mutant "moves: stopped while the link is busy" internal/evacuate/move.go 's/if !e.cfg.Off.CopyRefresh {/if false {/' "./internal/gateway -run TestAGeneration"
 mutant "moves: no slack between copies" pkg/evacuation/evacuation.go 's/{80 \* time.Millisecond, 40 \* time.Millisecond, 0}/{0}/' ./pkg/evacuation
-mutant "moves: links of targets not counted" pkg/evacuation/evacuation.go 's/^\tbest.busy = end$//' ./pkg/evacuation
+mutant "moves: links of targets not counted" pkg/evacuation/evacuation.go 's/^\tbest.busyUntil = end$//' ./pkg/evacuation
 mutant "notices: others' prompts not counted" pkg/scheduler/versions.go 's/c.ReadRate = DefaultReadRate/c.ReadRate = 0/' ./pkg/scheduler
 mutant "notices: not sent" internal/gateway/tell.go 's/if g.notices == nil || g.cfg.Without.has(mechNotices) {/if true {/' "./internal/gateway -run TestEntriesTellOfPrompts"
 mutant "notices: refused prompts not told to be read" internal/relay/relay.go 's/^\tdefer read()$/\t_ = read/' "./internal/gateway -run TestEntriesTellThat"
