--- a/internal/contain/contain.go
+++ b/internal/contain/contain.go
@@ -19,8 +19,8 @@
 // Change tells that what is held against a request has changed.
 type Change struct {
 	Identity quarantine.Identity
-	Before   quarantine.Standing
-	Now      quarantine.Standing
+	Before   quarantine.Status
+	Now      quarantine.Status
 	Ends     int
 }
 
@@ -77,15 +77,15 @@
 	defer g.mu.Unlock()
 	now := clock.Now()
 	// News of one request may show that another is innocent.
-	before := g.set.Standings(now)
+	before := g.set.Statuses(now)
 	for _, f := range facts {
-		before[f.Identity], _ = g.set.Standing(now, f.Identity)
+		before[f.Identity], _ = g.set.Status(now, f.Identity)
 	}
 	news = len(g.set.Add(now, facts...)) > 0
 	g.idle.Store(g.set.Empty())
 	for id, was := range before {
-		if is, _ := g.set.Standing(now, id); is != was {
-			changes = append(changes, Change{id, was, is, g.set.Ends(id)})
+		if is, _ := g.set.Status(now, id); is != was {
+			changes = append(changes, Change{id, was, is, g.set.Terminations(id)})
 		}
 	}
 	return changes, news
@@ -104,7 +104,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, run := range under {
-		if g.set.Evidence(clock.Now(), run.Identity, run.Sent) {
+		if g.set.IsEvidence(clock.Now(), run.Identity, run.Sent) {
 			out = append(out, run)
 		}
 	}
@@ -119,17 +119,17 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.EndsOf(listed, until)
+	return g.set.CountTerminations(listed, until)
 }
 
 // KeptApart lists the requests that are to be kept apart.
-func (g *Guard) KeptApart() []quarantine.KeptApart {
+func (g *Guard) KeptApart() []quarantine.IsolatedRequest {
 	if g.off() || g.idle.Load() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.KeptApart(clock.Now())
+	return g.set.IsolatedRequests(clock.Now())
 }
 
 // Whole records that a run of a request came whole.
@@ -139,7 +139,7 @@
 	}
 	id := identity()
 	g.mu.Lock()
-	f, clears := g.set.Whole(clock.Now(), id, rand.Uint64())
+	f, clears := g.set.RecordCompletion(clock.Now(), id, rand.Uint64())
 	g.mu.Unlock()
 	if clears {
 		g.Add(f)
@@ -182,10 +182,10 @@
 		return nil
 	}
 	why := "the request is on trial, one try at a time"
-	if r.Standing == quarantine.Contained {
+	if r.Status == quarantine.Contained {
 		why = "the request is in quarantine"
 	}
-	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", why, r.Ends).After(r.RetryAfter)
+	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", why, r.Terminations).After(r.RetryAfter)
 }
 
 // SetPlace tells the place of this entry among all; see quarantine.Set.
@@ -195,7 +195,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.set.SetPlace(rank, entries)
+	g.set.SetRank(rank, entries)
 }
 
 // Forget drops what is too old.
@@ -204,7 +204,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.set.Forget(now)
+	g.set.Expire(now)
 	g.idle.Store(g.set.Empty())
 	g.mu.Unlock()
 	// By now others may avoid fewer endpoints.
@@ -243,7 +243,7 @@
 }
 
 // Counts tells how many requests are held to each standing but Unknown.
-func (g *Guard) Counts() map[quarantine.Standing]int {
+func (g *Guard) Counts() map[quarantine.Status]int {
 	if g.off() || g.idle.Load() {
 		return nil
 	}
--- a/internal/contain/gauges.go
+++ b/internal/contain/gauges.go
@@ -9,10 +9,10 @@
 
 // Gauges registers how many requests are held to each standing.
 func Gauges(r Registry, g *Guard) {
-	help := map[quarantine.Standing]string{
+	help := map[quarantine.Status]string{
 		quarantine.Suspected: "Requests under which some endpoints ended.",
-		quarantine.Apart:     "Requests that run apart, since it isn't clear which of them crashes endpoints.",
-		quarantine.OnTrial:   "Requests that crashed endpoints and may be tried again.",
+		quarantine.Isolated:  "Requests that run apart, since it isn't clear which of them crashes endpoints.",
+		quarantine.HalfOpen:  "Requests that crashed endpoints and may be tried again.",
 		quarantine.Contained: "Requests that crash endpoints and are refused.",
 	}
 	for standing, text := range help {
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -82,10 +82,10 @@
 
 // Facts tells what an end says of the requests under which it came.
 func Facts(e End, under []Run) []quarantine.Fact {
-	mark := quarantine.MarkOf(e.At.Life(), e.Unlisted)
+	mark := quarantine.TerminationID(e.At.Life(), e.Unlisted)
 	out := make([]quarantine.Fact, 0, len(under))
 	for _, run := range under {
-		out = append(out, quarantine.Fact{Identity: run.Identity, Mark: mark, At: run.At})
+		out = append(out, quarantine.Fact{Identity: run.Identity, EventID: mark, OccurredAt: run.At})
 	}
 	return out
 }
--- a/internal/crashwatch/crashwatch_test.go
+++ b/internal/crashwatch/crashwatch_test.go
@@ -194,7 +194,7 @@
 			Over:     func(fleet.Endpoint) bool { return false },
 			OnEnded: func(e crashwatch.End, under []crashwatch.Run) {
 				for _, f := range crashwatch.Facts(e, under) {
-					marks[f.Mark] = append(marks[f.Mark], fmt.Sprint(e.Unlisted))
+					marks[f.EventID] = append(marks[f.EventID], fmt.Sprint(e.Unlisted))
 				}
 			},
 		})
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -70,10 +70,10 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	g.Expect(answers).To(ContainSubstring("quarantined"))
-	g.Expect(ends.Load()).To(BeNumerically(">=", quarantine.Threshold))
+	g.Expect(ends.Load()).To(BeNumerically(">=", quarantine.ContainmentThreshold))
 	// One request goes to three engines by itself, since its kind may be repeated; a second
 	// one may be under way when that is known.
-	g.Expect(ends.Load()).To(BeNumerically("<=", 2*quarantine.Threshold))
+	g.Expect(ends.Load()).To(BeNumerically("<=", 2*quarantine.ContainmentThreshold))
 	status, body := complete(g, address, "innocent")
 	g.Expect(status).To(Equal(http.StatusOK), body)
 }
--- a/internal/filters/quarantined/quarantined_test.go
+++ b/internal/filters/quarantined/quarantined_test.go
@@ -20,8 +20,8 @@
 func TestContainedRequestsAreRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	guard := contain.New()
-	for life := range uint64(quarantine.Threshold) {
-		guard.Add(quarantine.Fact{Identity: quarantine.IdentityOf("w", "h", "/x", nil), Mark: life, At: time.Now().Add(-time.Minute)})
+	for life := range uint64(quarantine.ContainmentThreshold) {
+		guard.Add(quarantine.Fact{Identity: quarantine.IdentityOf("w", "h", "/x", nil), EventID: life, OccurredAt: time.Now().Add(-time.Minute)})
 	}
 	passed := 0
 	filter := quarantined.New(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }), guard)
--- a/internal/peering/exchange_test.go
+++ b/internal/peering/exchange_test.go
@@ -130,8 +130,8 @@
 	g := NewWithT(t)
 	saw, between, late := newPeer(t, "saw"), newPeer(t, "between"), newPeer(t, "late")
 	crash := func() quarantine.Identity { return quarantine.IdentityOf("w", "h", "/crash", nil) }
-	for life := range uint64(quarantine.Threshold) {
-		saw.beliefs.Guard().Add(quarantine.Fact{Identity: crash(), Mark: life, At: time.Now()})
+	for life := range uint64(quarantine.ContainmentThreshold) {
+		saw.beliefs.Guard().Add(quarantine.Fact{Identity: crash(), EventID: life, OccurredAt: time.Now()})
 	}
 	saw.meet(g, between)
 	for range 3 {
@@ -139,7 +139,7 @@
 	}
 	late.meet(g, between)
 	for _, p := range []*peer{saw, between, late} {
-		g.Expect(p.beliefs.Guard().Counts()).To(Equal(map[quarantine.Standing]int{quarantine.Contained: 1}))
+		g.Expect(p.beliefs.Guard().Counts()).To(Equal(map[quarantine.Status]int{quarantine.Contained: 1}))
 		g.Expect(p.beliefs.Guard().Check(crash)).To(HaveField("Outcome", outcome.NotRun))
 	}
 	late.beliefs.Guard().Whole(crash)
--- a/internal/peering/requestfacts.go
+++ b/internal/peering/requestfacts.go
@@ -20,8 +20,8 @@
 func factsOut(now time.Time, in []quarantine.Fact) []*peerv1.RequestFact {
 	out := make([]*peerv1.RequestFact, 0, len(in))
 	for _, f := range in {
-		age := min(max(now.Sub(f.At).Milliseconds(), 0), math.MaxUint32)
-		out = append(out, &peerv1.RequestFact{Identity: f.Identity[:], Mark: f.Mark, Whole: f.Whole, AgeMs: uint32(age)})
+		age := min(max(now.Sub(f.OccurredAt).Milliseconds(), 0), math.MaxUint32)
+		out = append(out, &peerv1.RequestFact{Identity: f.Identity[:], Mark: f.EventID, Whole: f.Completed, AgeMs: uint32(age)})
 	}
 	return out
 }
@@ -34,7 +34,7 @@
 			continue
 		}
 		age := time.Duration(f.GetAgeMs()) * time.Millisecond
-		out = append(out, quarantine.Fact{Identity: quarantine.Identity(f.GetIdentity()), Mark: f.GetMark(), Whole: f.GetWhole(), At: now.Add(-age)})
+		out = append(out, quarantine.Fact{Identity: quarantine.Identity(f.GetIdentity()), EventID: f.GetMark(), Completed: f.GetWhole(), OccurredAt: now.Add(-age)})
 	}
 	return out
 }
--- a/internal/peering/spread_test.go
+++ b/internal/peering/spread_test.go
@@ -51,7 +51,7 @@
 		e := &spreading{name: r.GetVm(), set: quarantine.New(), round: s.now.Add(time.Duration(random.Int64N(int64(roundEvery))))}
 		e.view = membership.New(membership.Config{VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: smallView, Chance: random.Float64})
 		e.view.Merge(s.now, records)
-		e.set.SetPlace(i, size)
+		e.set.SetRank(i, size)
 		s.entries = append(s.entries, e)
 		s.byName[e.name] = e
 	}
@@ -67,7 +67,7 @@
 
 // cameWhole tells an entry that a run of a request came whole there.
 func (s *spread) cameWhole(e *spreading, id quarantine.Identity, mark uint64) {
-	if f, clears := e.set.Whole(s.now, id, mark); clears {
+	if f, clears := e.set.RecordCompletion(s.now, id, mark); clears {
 		s.learn(e, f)
 	}
 }
@@ -101,7 +101,7 @@
 		s.step()
 		all := true
 		for _, e := range s.entries {
-			standing, _ := e.set.Standing(s.now, id)
+			standing, _ := e.set.Status(s.now, id)
 			all = all && standing == quarantine.Contained
 		}
 		if all {
@@ -128,8 +128,8 @@
 			for seed := range uint64(seeds) {
 				s := newSpread(rand.New(rand.NewPCG(seed, 1)), fleet.size, fleet.dataCenters, smallView)
 				id := quarantine.IdentityOf("w", "h", "/crash", nil)
-				for i := range quarantine.Threshold {
-					s.learn(s.entries[i], quarantine.Fact{Identity: id, Mark: uint64(i), At: s.now})
+				for i := range quarantine.ContainmentThreshold {
+					s.learn(s.entries[i], quarantine.Fact{Identity: id, EventID: uint64(i), OccurredAt: s.now})
 				}
 				worst = max(worst, s.until(id, 30*time.Second))
 				exchanges += s.exchanges
@@ -206,13 +206,13 @@
 				continue
 			}
 			life := random.Uint64()
-			facts := []quarantine.Fact{{Identity: crash, Mark: life, At: s.now}}
+			facts := []quarantine.Fact{{Identity: crash, EventID: life, OccurredAt: s.now}}
 			if runs {
-				facts = append(facts, quarantine.Fact{Identity: alike, Mark: life, At: s.now})
+				facts = append(facts, quarantine.Fact{Identity: alike, EventID: life, OccurredAt: s.now})
 			}
 			for n := range beside {
 				id := quarantine.IdentityOf("w", "h", fmt.Sprint("/beside/", life, n), nil)
-				facts = append(facts, quarantine.Fact{Identity: id, Mark: life, At: s.now})
+				facts = append(facts, quarantine.Fact{Identity: id, EventID: life, OccurredAt: s.now})
 			}
 			out.ends = append(out.ends, s.now)
 			out.cut += len(facts) - 1
--- /dev/null
+++ b/pkg/quarantine/assessment.go
@@ -0,0 +1,111 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+)
+
+// assess counts the terminations of a candidate that are not attributed to others, and determines
+// whether it is a culprit and from when on it is contained.
+func (s *Set) assess(c *candidate, attributed map[uint64]int) {
+	c.unattributed, c.isolatedSince, c.culprit = 0, time.Time{}, false
+	var unattributed []Fact
+	for _, t := range c.terminations {
+		if attributed[t.EventID] == 0 {
+			unattributed = append(unattributed, t)
+		}
+	}
+	c.unattributed = len(unattributed)
+	if len(unattributed) < ContainmentThreshold {
+		return
+	}
+	c.isolatedSince = unattributed[ContainmentThreshold-1].OccurredAt
+	shared := s.cooccurrencesOf(c, unattributed)
+	unsharedAt, found := firstUnshared(unattributed, shared)
+	switch {
+	case len(shared) == 0:
+		c.culprit, c.containableFrom = true, c.isolatedSince
+	case !shared.ambiguous(len(unattributed)):
+		c.culprit, c.containableFrom = true, c.isolatedSince.Add(attributionDelay)
+	case found:
+		c.culprit, c.containableFrom = true, latest(c.isolatedSince, unsharedAt).Add(attributionDelay)
+	default:
+		c.culprit, c.containableFrom = confirmedInIsolation(unattributed, c.isolatedSince, shared)
+	}
+}
+
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+// firstUnshared returns the time of the first termination that no other candidate shares.
+func firstUnshared(terminations []Fact, shared cooccurrences) (at time.Time, found bool) {
+	for _, t := range terminations {
+		if len(shared[t.EventID]) == 0 {
+			return t.OccurredAt, true
+		}
+	}
+	return time.Time{}, false
+}
+
+// confirmedInIsolation reports whether an instance terminated under a request while it was
+// isolated, without another candidate with at least minAmbiguousShared terminations there. The
+// time is that from which no further reports of other candidates are expected. A new culprit
+// whose first termination this is isn't excluded; it is recognised by its second.
+func confirmedInIsolation(terminations []Fact, isolatedSince time.Time, shared cooccurrences) (confirmed bool, from time.Time) {
+	for _, t := range terminations[ContainmentThreshold:] {
+		if t.OccurredAt.Sub(isolatedSince) > attributionDelay && !shared.hasRepeatedCandidate(t.EventID) {
+			return true, t.OccurredAt.Add(attributionDelay)
+		}
+	}
+	return false, time.Time{}
+}
+
+// cooccurrence describes another candidate that ran in some of the same instances.
+type cooccurrence struct {
+	// shared counts the terminations in common, terminations all of the other candidate's.
+	shared, terminations int
+}
+
+// cooccurrences maps the event IDs of a candidate's terminations to the candidates sharing them.
+type cooccurrences map[uint64][]*cooccurrence
+
+// sharedWithRepeated reports whether a candidate with at least minAmbiguousShared terminations
+// shares this one.
+func (c cooccurrences) hasRepeatedCandidate(eventID uint64) bool {
+	return slices.ContainsFunc(c[eventID], func(other *cooccurrence) bool { return other.terminations >= minAmbiguousShared })
+}
+
+// cooccurrencesOf returns the candidates that share the given terminations of a candidate.
+func (s *Set) cooccurrencesOf(c *candidate, terminations []Fact) cooccurrences {
+	byCandidate := map[*candidate]*cooccurrence{}
+	result := cooccurrences{}
+	for _, t := range terminations {
+		for _, other := range s.byEvent[t.EventID] {
+			if other == c {
+				continue
+			}
+			if byCandidate[other] == nil {
+				byCandidate[other] = &cooccurrence{terminations: len(other.terminations)}
+			}
+			byCandidate[other].shared++
+			result[t.EventID] = append(result[t.EventID], byCandidate[other])
+		}
+	}
+	return result
+}
+
+// ambiguous reports whether another candidate shares at least minAmbiguousShared terminations, and
+// at least half of the given number.
+func (c cooccurrences) ambiguous(terminations int) bool {
+	maxShared := 0
+	for _, sharing := range c {
+		for _, other := range sharing {
+			maxShared = max(maxShared, other.shared)
+		}
+	}
+	return maxShared >= minAmbiguousShared && 2*maxShared >= terminations
+}
--- a/pkg/quarantine/exchange.go
+++ b/pkg/quarantine/exchange.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// Keys names all facts, in their order.
+// Keys returns the keys of all facts in ascending order.
 func (s *Set) Keys() []Key {
-	out := make([]Key, 0, len(s.facts))
+	keys := make([]Key, 0, len(s.facts))
 	for key := range s.facts {
-		out = append(out, key)
+		keys = append(keys, key)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// Compare returns the facts that a peer with these keys lacks, and the keys of those that
-// it has and the set doesn't.
-func (s *Set) Compare(theirs []Key) (missing []Fact, wanted []Key) {
-	known := make(map[Key]bool, len(theirs))
-	for _, key := range theirs {
-		known[key] = true
+// Compare returns the facts whose keys the peer lacks, and the keys of the facts that the peer
+// has and the set lacks.
+func (s *Set) Compare(peerKeys []Key) (missing []Fact, wanted []Key) {
+	peerHas := make(map[Key]bool, len(peerKeys))
+	for _, key := range peerKeys {
+		peerHas[key] = true
 		if _, ok := s.facts[key]; !ok {
 			wanted = append(wanted, key)
 		}
 	}
 	for _, key := range s.Keys() {
-		if !known[key] {
+		if !peerHas[key] {
 			missing = append(missing, s.facts[key])
 		}
 	}
 	return missing, wanted
 }
 
-// Facts returns those of the keys that are known.
-func (s *Set) Facts(keys []Key) (out []Fact) {
+// Facts returns the facts with the given keys, leaving out unknown keys.
+func (s *Set) Facts(keys []Key) (facts []Fact) {
 	for _, key := range keys {
 		if f, ok := s.facts[key]; ok {
-			out = append(out, f)
+			facts = append(facts, f)
 		}
 	}
-	return out
+	return facts
 }
--- a/pkg/quarantine/fact.go
+++ b/pkg/quarantine/fact.go
@@ -7,38 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fact is one thing that is known of a request: that a life of an endpoint ended under it,
-// or that it came whole.
+// Fact is one event in the history of a request: the termination of an endpoint instance that was
+// running it, or a completed run.
 type Fact struct {
 	Identity Identity
-	// Mark tells the facts of a request apart. That of an end is a hash of the life, so
-	// that all who saw it tell the same fact; that of a success is any number.
-	Mark uint64
-	// Whole says that a run of the request came whole: its ends up to then and for Trust
-	// after don't count.
-	Whole bool
-	// At is when it happened, on the local clock.
-	At time.Time
+	// EventID distinguishes the facts of a request. For a termination it is a hash of the
+	// instance (TerminationID), so that all entries that see it create the same fact; for a
+	// completed run it is any number.
+	EventID uint64
+	// Completed marks a completed run. Terminations of the request up to then, and for
+	// ClearedPeriod after, don't count.
+	Completed bool
+	// OccurredAt is the time of the event by the local clock.
+	OccurredAt time.Time
 }
 
-// Key names a fact among all entries.
+// Key identifies a fact in exchanges between entries.
 type Key uint32
 
-// Key computes the fact's name.
+// Key returns the key of the fact, a hash of its identity, event ID and kind.
 func (f Fact) Key() Key {
 	var data [25]byte
 	copy(data[:], f.Identity[:])
-	binary.BigEndian.PutUint64(data[16:], f.Mark)
-	if f.Whole {
+	binary.BigEndian.PutUint64(data[16:], f.EventID)
+	if f.Completed {
 		data[24] = 1
 	}
 	return Key(xxhash.Sum64(data[:]))
 }
 
-// clears reports whether a whole run makes another fact of the request count no more.
-func (f Fact) clears(other Fact) bool {
-	if other.Whole {
-		return !other.At.After(f.At)
+// supersedes reports whether f, a completed run, makes another fact of the same request obsolete.
+func (f Fact) supersedes(other Fact) bool {
+	if other.Completed {
+		return !other.OccurredAt.After(f.OccurredAt)
 	}
-	return other.At.Sub(f.At) < Trust
+	return other.OccurredAt.Sub(f.OccurredAt) < ClearedPeriod
 }
--- a/pkg/quarantine/identity.go
+++ b/pkg/quarantine/identity.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Identity names what a caller asked for, whatever id its request has: the same workspace
-// asking for the same thing again has the same identity. It is a cryptographic digest, so
-// that no caller can make a request of the identity of another one's: 128 bits can't be
-// searched for a second preimage.
+// Identity identifies the content of a request independently of its request id: equal requests
+// of one workspace have equal identities. It is a cryptographic digest, so that no caller can
+// craft a request with the identity of another one: a second preimage of 128 bits can't be found
+// by search.
 type Identity [16]byte
 
-// IdentityOf computes the identity of a request. Path is the request target, query
-// included. Two callers of one workspace share their identities, since a workspace may use
-// several keys for the same work.
+// IdentityOf computes the identity of a request. Path is the request target including the query.
+// Callers of one workspace share identities, since a workspace may use several keys for the same
+// work.
 func IdentityOf(workspace, host, path string, body []byte) Identity {
 	digest := sha256.New()
 	for _, part := range [][]byte{[]byte(workspace), []byte(hostname(host)), []byte(path), body} {
@@ -29,7 +29,7 @@
 	return Identity(digest.Sum(nil)[:len(Identity{})])
 }
 
-// hostname is a host as routes match it: without a port, in lower case.
+// hostname normalises a host as routes match it: without a port, in lower case.
 func hostname(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -37,5 +37,5 @@
 	return strings.ToLower(host)
 }
 
-// String gives the identity for logs.
+// String returns the identity in hexadecimal, for logs.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
--- a/pkg/quarantine/identity_test.go
+++ b/pkg/quarantine/identity_test.go
@@ -8,8 +8,8 @@
 	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
 )
 
-// TestIdentity: only the same request of the same workspace has the same identity; no part
-// can be moved into the next one.
+// TestIdentity guards against collisions: only the same request of the same workspace has the same
+// identity, also when bytes move from one part of the request to the next.
 func TestIdentity(t *testing.T) {
 	g := NewWithT(t)
 	base := quarantine.IdentityOf("w", "h.example", "/a/b", []byte("body"))
--- /dev/null
+++ b/pkg/quarantine/isolation.go
@@ -0,0 +1,76 @@
+package quarantine
+
+import (
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// IsolatedSince returns the time since which a request is isolated, if it is.
+func (s *Set) IsolatedSince(now time.Time, id Identity) (since time.Time, isolated bool) {
+	c := s.candidates[id]
+	if c == nil || !c.isolated(now) {
+		return time.Time{}, false
+	}
+	return c.isolatedSince, true
+}
+
+// IsEvidence reports whether the termination of an instance counts against a request that was
+// sent there at the given time. Only runs sent since the isolation count against an isolated
+// request. Its earlier runs were beside other candidates, and their terminations would soon be
+// too many for an innocent request.
+func (s *Set) IsEvidence(now time.Time, id Identity, sent time.Time) bool {
+	since, isolated := s.IsolatedSince(now, id)
+	return !isolated || sent.After(since)
+}
+
+// IsolatedRequests returns the isolated requests in an order that is the same at all entries with
+// the same facts.
+func (s *Set) IsolatedRequests(now time.Time) (requests []IsolatedRequest) {
+	for id, c := range s.candidates {
+		if c.isolated(now) {
+			requests = append(requests, IsolatedRequest{id, now.Sub(c.lastTermination) < avoidancePeriod})
+		}
+	}
+	slices.SortFunc(requests, func(a, b IsolatedRequest) int { return slices.Compare(a.Identity[:], b.Identity[:]) })
+	return requests
+}
+
+// IsolatedRequest is a request that may run only where no other candidate runs.
+type IsolatedRequest struct {
+	Identity Identity
+	// AvoidEndpoint reports whether all other requests avoid its endpoint.
+	AvoidEndpoint bool
+}
+
+// Assign maps each request to an endpoint of its own, by index. If there are fewer endpoints than
+// requests, they are shared evenly. The result is the same at all entries with the same requests
+// and endpoints.
+func Assign(requests []IsolatedRequest, endpoints []string) map[Identity]int {
+	assigned := make(map[Identity]int, len(requests))
+	assignments := make([]int, len(endpoints))
+	for i, r := range requests {
+		best, bestScore := -1, uint64(0)
+		for e, name := range endpoints {
+			// No endpoint is assigned a further request before each has as many.
+			if assignments[e] > i/len(endpoints) {
+				continue
+			}
+			if score := assignScore(r.Identity, name); best < 0 || score > bestScore {
+				best, bestScore = e, score
+			}
+		}
+		if best >= 0 {
+			assigned[r.Identity] = best
+			assignments[best]++
+		}
+	}
+	return assigned
+}
+
+// assignScore is the rendezvous hashing score of an endpoint for a request; the highest wins.
+func assignScore(id Identity, endpoint string) uint64 {
+	return xxhash.Sum64(append(binary.BigEndian.AppendUint64(id[:len(id):len(id)], uint64(len(endpoint))), endpoint...))
+}
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -1,55 +1,58 @@
-// Package quarantine keeps requests that crash what runs them from endpoints.
+// Package quarantine identifies requests that crash the endpoints running them, and decides which
+// requests an entry refuses or isolates.
 //
 // # Design
 //
-// Such a request (a "query of death") comes again for as long as it fails, with a new id, at
-// any entry. Bounds on attempts and breakers don't see it: each try is the first one of an
-// id, at an endpoint that has not failed yet. So requests are known by what they ask for
-// (Identity), and a Set remembers under which of them lives of endpoints ended.
+// Such a request (a "query of death") is repeated for as long as it fails, under a new request
+// id and at any entry. Attempt limits and circuit breakers don't catch it: each try is the first
+// attempt of its id, at an endpoint that has not failed yet. Requests are therefore identified
+// by content (Identity), and a Set records under which identities endpoint instances terminated.
 //
-//	           a life ends under it                enough of them
-//	[unknown] ----------------------> [suspected] ---------------> [contained]
-//	    ^                               |     |                     |      ^
-//	    |<--- a run of it came whole ---+     |              hold is over  | one more
-//	    |     (at any time, any state)        |                     v      | life ends
-//	    +<------- nothing for memory ---------+------------------ [on trial]
+//	        an instance terminates            threshold reached
+//	[unknown] ------------------> [suspected] ------------------> [contained]
+//	    ^                           |     |                          |      ^
+//	    |<--- a run completes ------+     |       containment period |      | another
+//	    |     (from any status)           |                 expires  v      | termination
+//	    +<--- facts expire ---------------+---------------------- [half-open]
 //
-// What ran beside a crashing request is suspected as well, and often the same request runs
-// many times at once. Three rules keep innocent ones out:
+// Requests that run beside a culprit become candidates as well, and the same request often runs
+// many times at once. Three rules protect innocent requests:
 //
-//   - A whole success shows that a request doesn't crash what runs it: what happened up to
-//     then, and for a while after, isn't held against it. Entries remember what came whole
-//     lately, so that this also clears what came whole before the first end.
-//   - A life ends once. Ends that a contained request explains count against no other one
-//     with fewer ends, nor one with as many that had its last end later.
-//   - A request stands out unless all its ends are shared with others, one of which shares
-//     half of them. One that stands out is contained after Threshold ends. The ends of one that
-//     doesn't may be those of others, as of a request that runs in every endpoint: it is kept apart. It
-//     goes on, each time to an endpoint of its own (Assign) that other requests avoid, where
-//     it comes whole or ends one more life, by itself. Where that can't be, with a single
-//     endpoint, it is contained after TiedThreshold ends and tried again after TiedHold.
+//   - A completed run shows that a request doesn't crash its endpoint: terminations up to then,
+//     and for ClearedPeriod after, don't count against it. Entries remember recent completions,
+//     so that a completion before the first termination clears the request, too.
+//   - An instance terminates once. Terminations attributed to a contained request count against
+//     no request with fewer terminations, nor against one with as many whose last one was later.
+//   - A request is ambiguous if it shares all its terminations with other candidates, and at
+//     least half of them with one of these. A request that isn't ambiguous is contained after
+//     ContainmentThreshold terminations. The terminations of an ambiguous one may be caused by
+//     others, as those of a request that runs at every endpoint, so it is Isolated: it goes on,
+//     each time at an endpoint of its own (Assign) that other requests avoid, where it either
+//     completes or terminates one more instance by itself. Where isolation is impossible, as
+//     with a single endpoint, the request is contained after AmbiguousThreshold terminations and
+//     probed again after AmbiguousPeriod.
 //
-// Without keeping apart, a stream that ran in all three engines while two requests crashed
-// them in turn was contained for Hold, after 0.3 s, and the two went on: it alone explained
-// all ends.
+// Without isolation, a stream that ran at all three engines while two culprits crashed them in
+// turn was contained for ContainmentPeriod after 0.3 s, and the two culprits went on: the stream
+// alone accounted for all terminations.
 //
-// Without the rules for ties and for what came whole before, a stream that nine callers asked
-// for at once was refused for minutes: three engines ended within half a second while it ran
-// in each.
+// Without the rules for ambiguous requests and for earlier completions, a stream that nine
+// callers requested at once was refused for minutes: three engines terminated within half a
+// second while it ran at each.
 //
-// All that ran in a life is suspected when it ends, whether it has begun to answer or not:
-// an engine may crash while it reads the prompt.
+// Every request running in an instance becomes a candidate when the instance terminates, whether
+// or not its response has begun: an engine may crash during prefill.
 //
-// Before Threshold a request is sent as any other. With one try at a time an entry from the
-// first or second end on, as many endpoints ended (5.2 and 5.4 in place of 5.4 under 65
-// tries a second, 24 runs each of TestARequestThatCrashesEndpoints at that rate), and
-// innocent requests that are alike were refused in 4 of the runs. On trial it is one at a
-// time, entries take turns, and the first end contains it again.
+// Below ContainmentThreshold a request is sent like any other. Limiting it to one try at a time
+// at each entry, from the first or from the second termination on, saves no endpoints (5.2 and
+// 5.4 terminations, against 5.4 without this limit, at 65 tries a second in 24 runs each), and
+// innocent requests with the same content were refused in 4 of the runs. A half-open request is
+// probed by one run at a time, entries take turns, and the first termination contains it again.
 //
-// What counts is the sum over all entries: they exchange what they know by the keys of
-// single facts, so that nothing depends on one entry's life. Facts carry their age, never a
-// time of day. A Set is bounded by MaxFacts; callers can't fill it by inventing requests,
-// since each fact costs the life of an endpoint.
+// Terminations are summed over all entries. Entries reconcile their sets by comparing fact keys,
+// so that no fact depends on a single entry staying up. Facts are exchanged with their age, never
+// with a time of day. A Set is bounded by MaxFacts; callers can't fill it by inventing requests,
+// since each fact costs the termination of an instance.
 //
 // The package does no I/O. The caller serialises calls.
 package quarantine
@@ -57,241 +60,253 @@
 import "time"
 
 const (
-	// Threshold is how many lives of endpoints end under a request until it is contained.
-	// Two would do with half the damage, but two crashes within minutes meet innocent
-	// requests that are repeated: an idempotent one meets two in a single attempt.
-	Threshold = 3
-	// TiedThreshold is the same for requests whose ends may be another's: two more ends, so
-	// that with three that are allowed late one is left for the trial.
-	TiedThreshold = 5
-	// confusing is how many ends two requests share that may be taken for each other: one end
-	// is shared with everything that ran beside.
-	confusing = 2
-	// MaxFacts bounds what is remembered, and with it the keys in each exchange, four bytes
-	// each: twenty lives that end with 24 requests each, the most an engine runs at once.
+	// ContainmentThreshold is the number of instance terminations under a request at which it
+	// is contained. A threshold of 2 would halve the damage, but two crashes within minutes
+	// affect innocent requests that are repeated: an idempotent request meets two of them
+	// within a single attempt.
+	ContainmentThreshold = 3
+	// AmbiguousThreshold is the threshold for ambiguous requests, whose terminations may be
+	// caused by others. It is two higher: of the three further terminations that are allowed,
+	// one is left for the probe.
+	AmbiguousThreshold = 5
+	// minAmbiguousShared is the number of shared terminations from which two requests can be
+	// mistaken for each other. One termination is shared with everything that ran there.
+	minAmbiguousShared = 2
+	// MaxFacts bounds the facts kept, and with it the keys in each exchange, 4 bytes each. It
+	// covers about twenty instances that terminate with 24 requests each, the most that an
+	// engine runs at once.
 	MaxFacts = 512
 )
 
 const (
-	// Hold is for how long a request is contained after the last end. A caller that asks
-	// once a second for a day then costs 144 endpoints in place of 86,400.
-	Hold = 10 * time.Minute
-	// TiedHold is Hold for those that don't stand out: most of them are innocent. It is longer
-	// than the time in which all entries know what one knows, so that the one end which tells
-	// them apart is the last. With 10 s an innocent request that was always beside was refused
-	// at 37 of 120 tries and not at 17, for as many ends (TestACrashingRequestPlayed, 6 entries).
-	TiedHold = 4 * time.Second
-	// apartSettle is how long after a request has had enough ends it takes until all who saw
-	// others in them have told (0.1 s between three busy entries), and what ran at its endpoint
-	// before has had time to crash it. Until then one that ran beside others is only kept
-	// apart: judged at once, an innocent one was refused by who had not heard yet.
-	apartSettle = 300 * time.Millisecond
-	// apartFor is for how long after its last end other requests avoid its endpoint: callers
-	// that are told to come back in a second have come.
-	apartFor = 3 * time.Second
-	// Trust is for how long after a whole run ends aren't held against a request. It may be
-	// wrong for as long, when what runs requests has just been replaced by what they crash.
-	Trust = time.Minute
-	// memory is for how long a fact is kept: a request that was held is remembered on trial for
-	// as long as it was held.
-	memory = 2 * Hold
-	// trialSlot is for how long it is one entry's turn to try a request: as long as it takes
-	// all entries to know of an end (1.92 s with 295, TestThreeEndsInThreeDataCentersAreSummedInTime).
-	// When all might try at once, thirty tries a second ended more than three engines late
-	// with 66 entries and more (TestACrashingRequestPlayed).
-	trialSlot = 2 * time.Second
-	// trialPause is when a caller may come back whose request is being tried for another.
-	trialPause = time.Second
+	// ContainmentPeriod is the time for which a request stays contained after its last
+	// termination. A caller that repeats a request once a second for a day then costs 144
+	// endpoints instead of 86,400.
+	ContainmentPeriod = 10 * time.Minute
+	// AmbiguousPeriod is the containment period of ambiguous requests, most of which are
+	// innocent. It is longer than a fact takes to reach all entries, so that one termination
+	// is enough to resolve the ambiguity. With 10 s, an innocent request that always ran beside
+	// the culprit was refused at 37 of 120 tries instead of 17, for as many terminations
+	// (6 entries).
+	AmbiguousPeriod = 4 * time.Second
+	// attributionDelay is the time after the threshold is reached until all entries that saw
+	// other requests in the same instances have reported them (0.1 s between three busy
+	// entries), and until requests that ran at its endpoint before have had time to crash it.
+	// Until then, a request that shares terminations is only isolated. Without the delay,
+	// entries that lacked these reports refused innocent requests.
+	attributionDelay = 300 * time.Millisecond
+	// avoidancePeriod is the time after the last termination of an isolated request for which
+	// other requests avoid its endpoint. Callers that are told to retry after one second have
+	// done so by then.
+	avoidancePeriod = 3 * time.Second
+	// ClearedPeriod is the time after a completed run for which terminations don't count
+	// against a request. For that long a request may be cleared wrongly, when the software at
+	// the endpoints has just been replaced by a version that it crashes.
+	ClearedPeriod = time.Minute
+	// factRetention is the time for which a fact is kept: a contained request stays half-open
+	// for as long as it was contained.
+	factRetention = 2 * ContainmentPeriod
+	// probeSlot is the time for which one entry may probe a request before it is the next
+	// one's turn: as long as a termination takes to be known at all entries (1.92 s with 295
+	// entries). When all entries could probe at once, thirty tries a second terminated more
+	// than three engines after the threshold with 66 entries and more.
+	probeSlot = 2 * time.Second
+	// probeRetryDelay is the delay after which a caller may retry a half-open request that
+	// another run, or another entry, is entitled to probe.
+	probeRetryDelay = time.Second
 )
 
-// Standing is what is held against a request.
-type Standing int
+// Status is the containment status of a request.
+type Status int
 
-// The standings; see the package's documentation.
+// The statuses in the order of severity; see the package documentation. HalfOpen is written
+// "on_trial" and Isolated "apart" in logs and metrics.
 const (
-	Unknown Standing = iota
+	Unknown Status = iota
 	Suspected
-	Apart
-	OnTrial
+	Isolated
+	HalfOpen
 	Contained
 )
 
-// String names the standing for logs.
-func (s Standing) String() string {
+// String returns the name of the status for logs and metrics.
+func (s Status) String() string {
 	return [...]string{"unknown", "suspected", "apart", "on_trial", "contained"}[s]
 }
 
-// Set holds the facts known. The zero value is not usable; see New.
+// Set holds the known facts and the candidates derived from them. Use New to create one.
 type Set struct {
-	facts    map[Key]Fact
-	suspects map[Identity]*suspect
-	// byMark are the suspects by the lives that ended under them.
-	byMark map[uint64][]*suspect
-	// trying are the requests on trial that are under way.
-	trying map[Identity]bool
-	recent recent
-	// rank is the entry's place among all entries, from zero.
+	facts      map[Key]Fact
+	candidates map[Identity]*candidate
+	// byEvent maps the event ID of a termination to the candidates that were running.
+	byEvent map[uint64][]*candidate
+	// probing holds the half-open requests of which a probe is running at this entry.
+	probing           map[Identity]bool
+	recentCompletions completionCache
+	// rank is the position of this entry among all entries, from zero.
 	rank, entries int
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
-	return &Set{facts: map[Key]Fact{}, suspects: map[Identity]*suspect{}, byMark: map[uint64][]*suspect{}, trying: map[Identity]bool{}}
+	return &Set{facts: map[Key]Fact{}, candidates: map[Identity]*candidate{}, byEvent: map[uint64][]*candidate{}, probing: map[Identity]bool{}}
 }
 
-// SetPlace tells the place of this entry among all, from zero, and how many they are. They
-// take turns by it in trying requests again.
-func (s *Set) SetPlace(rank, entries int) { s.rank, s.entries = rank, entries }
+// SetRank sets the position of this entry among all entries, from zero, and their number. They
+// determine the entry's turns to probe half-open requests.
+func (s *Set) SetRank(rank, entries int) { s.rank, s.entries = rank, entries }
 
-// hasTurn reports whether it is this entry's turn to try a request, counted from the end of
-// its hold, which all entries know alike.
-func (s *Set) hasTurn(now time.Time, id Identity) bool {
-	one := s.suspects[id]
-	if s.entries <= 1 || one == nil {
+// ownsProbeSlot reports whether it is this entry's turn to probe a request. Slots are counted
+// from the end of the containment period, which is the same at all entries.
+func (s *Set) ownsProbeSlot(now time.Time, id Identity) bool {
+	c := s.candidates[id]
+	if s.entries <= 1 || c == nil {
 		return true
 	}
-	slot := int(now.Sub(one.last.Add(one.hold())) / trialSlot)
+	slot := int(now.Sub(c.lastTermination.Add(c.containmentPeriod())) / probeSlot)
 	return slot%s.entries == s.rank
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether the set holds no facts.
 func (s *Set) Empty() bool { return len(s.facts) == 0 }
 
-// Add takes facts and returns those that were news.
-func (s *Set) Add(now time.Time, facts ...Fact) (news []Fact) {
+// Add adds facts and returns those that are new.
+func (s *Set) Add(now time.Time, facts ...Fact) (added []Fact) {
 	for _, f := range facts {
 		if _, known := s.facts[f.Key()]; known || s.outdated(now, f) {
 			continue
 		}
-		// An end of what came whole here just before is no news; that it came whole is.
-		if at, whole := s.recent.at(f.Identity); whole && !f.Whole && f.At.Sub(at) < Trust {
-			f = Fact{Identity: f.Identity, Mark: f.Mark, Whole: true, At: at}
+		// A termination within ClearedPeriod of a completion at this entry doesn't count.
+		// The completion is recorded in its place.
+		if completedAt, completed := s.recentCompletions.lastCompletion(f.Identity); completed && !f.Completed && f.OccurredAt.Sub(completedAt) < ClearedPeriod {
+			f = Fact{Identity: f.Identity, EventID: f.EventID, Completed: true, OccurredAt: completedAt}
 		}
 		s.facts[f.Key()] = f
-		news = append(news, f)
+		added = append(added, f)
 	}
-	if len(news) > 0 {
-		s.judge()
+	if len(added) > 0 {
+		s.recompute()
 	}
-	return news
+	return added
 }
 
-// outdated reports whether a fact changes nothing any more: it is too old, or the request
-// has come whole since.
+// outdated reports whether a fact has no effect: it is older than factRetention, or a completed
+// run of the request supersedes it.
 func (s *Set) outdated(now time.Time, f Fact) bool {
-	if now.Sub(f.At) >= memory {
+	if now.Sub(f.OccurredAt) >= factRetention {
 		return true
 	}
-	for _, known := range s.facts {
-		if known.Whole && known.Identity == f.Identity && known.clears(f) {
+	for _, other := range s.facts {
+		if other.Completed && other.Identity == f.Identity && other.supersedes(f) {
 			return true
 		}
 	}
 	return false
 }
 
-// Forget drops what is too old.
-func (s *Set) Forget(now time.Time) {
+// Expire drops facts older than factRetention.
+func (s *Set) Expire(now time.Time) {
 	before := len(s.facts)
 	for key, f := range s.facts {
-		if now.Sub(f.At) >= memory {
+		if now.Sub(f.OccurredAt) >= factRetention {
 			delete(s.facts, key)
 		}
 	}
 	if len(s.facts) != before {
-		s.judge()
+		s.recompute()
 	}
 }
 
-// Standing tells what is held against a request, and for how long it stays contained.
-func (s *Set) Standing(now time.Time, id Identity) (standing Standing, left time.Duration) {
-	one := s.suspects[id]
-	if one == nil || one.unexplained == 0 {
+// Status returns the status of a request and, if it is contained, for how much longer.
+func (s *Set) Status(now time.Time, id Identity) (status Status, remaining time.Duration) {
+	c := s.candidates[id]
+	if c == nil || c.unattributed == 0 {
 		return Unknown, 0
 	}
-	left = one.last.Add(one.hold()).Sub(now)
+	remaining = c.lastTermination.Add(c.containmentPeriod()).Sub(now)
 	switch {
-	case one.apart(now):
-		return Apart, 0
-	case !one.contained(now):
+	case c.isolated(now):
+		return Isolated, 0
+	case !c.contained(now):
 		return Suspected, 0
-	case left > 0:
-		return Contained, left
+	case remaining > 0:
+		return Contained, remaining
 	default:
-		return OnTrial, 0
+		return HalfOpen, 0
 	}
 }
 
-// Ends counts the lives that ended under a request and that it has to answer for.
-func (s *Set) Ends(id Identity) int {
-	if one := s.suspects[id]; one != nil {
-		return one.unexplained
+// Terminations returns the number of terminations that count against a request: those that are
+// not attributed to other requests.
+func (s *Set) Terminations(id Identity) int {
+	if c := s.candidates[id]; c != nil {
+		return c.unattributed
 	}
 	return 0
 }
 
-// Refusal says why a request isn't sent, and when it may come back.
+// Refusal describes why a request is refused and when it may be retried.
 type Refusal struct {
-	Standing   Standing
-	Ends       int
-	RetryAfter time.Duration
+	Status       Status
+	Terminations int
+	RetryAfter   time.Duration
 }
 
-// Check tells whether a request may be sent now; nil says that it may.
+// Check returns a refusal if a request may not be sent now, or nil if it may.
 func (s *Set) Check(now time.Time, id Identity) *Refusal {
-	standing, left := s.Standing(now, id)
-	if standing == Contained {
-		return &Refusal{standing, s.Ends(id), left}
+	status, remaining := s.Status(now, id)
+	if status == Contained {
+		return &Refusal{status, s.Terminations(id), remaining}
 	}
-	if s.trying[id] || standing == OnTrial && !s.hasTurn(now, id) {
-		return &Refusal{standing, s.Ends(id), trialPause}
+	if s.probing[id] || status == HalfOpen && !s.ownsProbeSlot(now, id) {
+		return &Refusal{status, s.Terminations(id), probeRetryDelay}
 	}
 	return nil
 }
 
-// Begin is Check for a request that is sent at once if it may be. If alone is true, no other
-// try of it is let through until Finish is called.
-func (s *Set) Begin(now time.Time, id Identity) (alone bool, refusal *Refusal) {
+// Begin is Check for a request that is sent at once if permitted. If probe is true, the request
+// is half-open and no other run of it is permitted until the caller calls Finish.
+func (s *Set) Begin(now time.Time, id Identity) (probe bool, refusal *Refusal) {
 	if refusal := s.Check(now, id); refusal != nil {
 		return false, refusal
 	}
-	standing, _ := s.Standing(now, id)
-	alone = standing == OnTrial
-	if alone {
-		s.trying[id] = true
+	status, _ := s.Status(now, id)
+	probe = status == HalfOpen
+	if probe {
+		s.probing[id] = true
 	}
-	return alone, nil
+	return probe, nil
 }
 
-// Finish ends a try that went alone.
-func (s *Set) Finish(id Identity) { delete(s.trying, id) }
+// Finish ends a probe that Begin permitted.
+func (s *Set) Finish(id Identity) { delete(s.probing, id) }
 
-// Whole takes the news that a run of a request came whole here, and returns the fact to be
-// added if that clears it of anything.
-func (s *Set) Whole(now time.Time, id Identity, mark uint64) (f Fact, clears bool) {
-	s.recent.add(now, id)
-	if s.suspects[id] == nil {
+// RecordCompletion records that a run of a request completed at this entry. If the request has
+// terminations to be cleared of, it returns the fact to add.
+func (s *Set) RecordCompletion(now time.Time, id Identity, eventID uint64) (f Fact, cleared bool) {
+	s.recentCompletions.add(now, id)
+	if s.candidates[id] == nil {
 		return Fact{}, false
 	}
-	return Fact{Identity: id, Mark: mark, Whole: true, At: now}, true
+	return Fact{Identity: id, EventID: eventID, Completed: true, OccurredAt: now}, true
 }
 
-// Standings tells what is held against all requests that something is known of.
-func (s *Set) Standings(now time.Time) map[Identity]Standing {
-	out := make(map[Identity]Standing, len(s.suspects))
-	for id := range s.suspects {
-		out[id], _ = s.Standing(now, id)
+// Statuses returns the status of each candidate.
+func (s *Set) Statuses(now time.Time) map[Identity]Status {
+	statuses := make(map[Identity]Status, len(s.candidates))
+	for id := range s.candidates {
+		statuses[id], _ = s.Status(now, id)
 	}
-	return out
+	return statuses
 }
 
-// Counts tells how many requests are held to each standing but Unknown.
-func (s *Set) Counts(now time.Time) map[Standing]int {
-	out := map[Standing]int{}
-	for _, standing := range s.Standings(now) {
-		if standing != Unknown {
-			out[standing]++
+// Counts returns the number of requests in each status except Unknown.
+func (s *Set) Counts(now time.Time) map[Status]int {
+	counts := map[Status]int{}
+	for _, status := range s.Statuses(now) {
+		if status != Unknown {
+			counts[status]++
 		}
 	}
-	return out
+	return counts
 }
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -17,184 +17,188 @@
 
 var start = time.Unix(1000, 0)
 
-// named is an identity for tests.
-func named(name string) quarantine.Identity { return quarantine.IdentityOf("w", "h", name, nil) }
+// identityOf returns an identity derived from a name.
+func identityOf(name string) quarantine.Identity { return quarantine.IdentityOf("w", "h", name, nil) }
 
-// end is the end of a life, named by a number, under a request.
-func end(name string, life uint64, at time.Time) quarantine.Fact {
-	return quarantine.Fact{Identity: named(name), Mark: life, At: at}
+// termination returns the fact that an instance, given by a number, terminated under a request.
+func termination(name string, instance uint64, at time.Time) quarantine.Fact {
+	return quarantine.Fact{Identity: identityOf(name), EventID: instance, OccurredAt: at}
 }
 
-func standing(s *quarantine.Set, now time.Time, name string) quarantine.Standing {
-	is, _ := s.Standing(now, named(name))
-	return is
+func statusOf(s *quarantine.Set, now time.Time, name string) quarantine.Status {
+	status, _ := s.Status(now, identityOf(name))
+	return status
 }
 
-func TestThreeLivesContain(t *testing.T) {
+func TestThreeTerminationsContain(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	g.Expect(s.Check(start, named("a"))).To(BeNil())
-	s.Add(start, end("a", 1, start), end("a", 1, start), end("a", 2, start))
-	g.Expect(standing(s, start, "a")).To(Equal(quarantine.Suspected), "a life ends once, whoever saw it")
-	g.Expect(s.Check(start, named("a"))).To(BeNil())
-	s.Add(start, end("a", 3, start))
-	refusal := s.Check(start.Add(time.Minute), named("a"))
-	g.Expect(refusal).To(Equal(&quarantine.Refusal{Standing: quarantine.Contained, Ends: 3, RetryAfter: quarantine.Hold - time.Minute}))
-	g.Expect(s.Check(start, named("b"))).To(BeNil())
+	g.Expect(s.Check(start, identityOf("a"))).To(BeNil())
+	s.Add(start, termination("a", 1, start), termination("a", 1, start), termination("a", 2, start))
+	g.Expect(statusOf(s, start, "a")).To(Equal(quarantine.Suspected), "an instance terminates once, whichever entry reports it")
+	g.Expect(s.Check(start, identityOf("a"))).To(BeNil())
+	s.Add(start, termination("a", 3, start))
+	refusal := s.Check(start.Add(time.Minute), identityOf("a"))
+	g.Expect(refusal).To(Equal(&quarantine.Refusal{Status: quarantine.Contained, Terminations: 3, RetryAfter: quarantine.ContainmentPeriod - time.Minute}))
+	g.Expect(s.Check(start, identityOf("b"))).To(BeNil())
 }
 
-// TestAWholeRunClears: nothing that happened up to it counts any more, also when it is told
-// late, and what happens later does.
-func TestAWholeRunClears(t *testing.T) {
+// TestCompletedRunClears: terminations up to a completed run, and shortly after, don't count, also
+// if they are reported late. Later ones do.
+func TestCompletedRunClears(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	s.Add(start, end("a", 1, start), end("a", 2, start), end("a", 3, start))
-	g.Expect(standing(s, start, "a")).To(Equal(quarantine.Contained))
-	f, clears := s.Whole(start.Add(time.Second), named("a"), 7)
-	g.Expect(clears).To(BeTrue())
+	s.Add(start, termination("a", 1, start), termination("a", 2, start), termination("a", 3, start))
+	g.Expect(statusOf(s, start, "a")).To(Equal(quarantine.Contained))
+	f, cleared := s.RecordCompletion(start.Add(time.Second), identityOf("a"), 7)
+	g.Expect(cleared).To(BeTrue())
 	now := start.Add(2 * time.Second)
 	s.Add(now, f)
-	g.Expect(standing(s, now, "a")).To(Equal(quarantine.Unknown))
-	g.Expect(s.Add(now, end("a", 4, start), end("a", 5, now))).To(BeEmpty(), "from before, and just after")
-	now = now.Add(quarantine.Trust)
-	s.Add(now, end("a", 6, now), end("a", 7, now))
-	g.Expect(standing(s, now, "a")).To(Equal(quarantine.Suspected))
-	s.Add(now, end("a", 8, now))
-	g.Expect(standing(s, now, "a")).To(Equal(quarantine.Contained))
-	_, clears = s.Whole(now, named("b"), 9)
-	g.Expect(clears).To(BeFalse(), "nothing is held against it")
+	g.Expect(statusOf(s, now, "a")).To(Equal(quarantine.Unknown))
+	g.Expect(s.Add(now, termination("a", 4, start), termination("a", 5, now))).To(BeEmpty(), "before and shortly after the completed run")
+	now = now.Add(quarantine.ClearedPeriod)
+	s.Add(now, termination("a", 6, now), termination("a", 7, now))
+	g.Expect(statusOf(s, now, "a")).To(Equal(quarantine.Suspected))
+	s.Add(now, termination("a", 8, now))
+	g.Expect(statusOf(s, now, "a")).To(Equal(quarantine.Contained))
+	_, cleared = s.RecordCompletion(now, identityOf("b"), 9)
+	g.Expect(cleared).To(BeFalse(), "it has no terminations")
 }
 
-// TestWhatCameWholeBefore the first end isn't suspected, by any entry that hears so.
-func TestWhatCameWholeBefore(t *testing.T) {
+// TestCompletionBeforeFirstTerminationClears: a request that completed at one entry before its
+// first termination is cleared at all entries that reconcile with it.
+func TestCompletionBeforeFirstTerminationClears(t *testing.T) {
 	g := NewWithT(t)
-	saw, other := quarantine.New(), quarantine.New()
-	saw.Whole(start, named("a"), 7)
+	observer, peer := quarantine.New(), quarantine.New()
+	observer.RecordCompletion(start, identityOf("a"), 7)
 	now := start.Add(time.Second)
-	for life := range uint64(quarantine.TiedThreshold) {
-		other.Add(now, end("a", life, now))
+	for instance := range uint64(quarantine.AmbiguousThreshold) {
+		peer.Add(now, termination("a", instance, now))
 	}
-	g.Expect(standing(other, now, "a")).To(Equal(quarantine.Contained))
-	reconcile(now, saw, other)
-	reconcile(now, saw, other)
-	g.Expect(standing(saw, now, "a")).To(Equal(quarantine.Unknown))
-	g.Expect(standing(other, now, "a")).To(Equal(quarantine.Unknown))
+	g.Expect(statusOf(peer, now, "a")).To(Equal(quarantine.Contained))
+	reconcile(now, observer, peer)
+	reconcile(now, observer, peer)
+	g.Expect(statusOf(observer, now, "a")).To(Equal(quarantine.Unknown))
+	g.Expect(statusOf(peer, now, "a")).To(Equal(quarantine.Unknown))
 }
 
-// TestTies: requests that ran beside each other at all of their ends go on, since most of
-// them are innocent, until the next end tells them apart or there are too many.
-func TestTies(t *testing.T) {
+// TestAmbiguousRequestsAreContainedLate: requests that share all their terminations go on, since
+// most of them are innocent, until AmbiguousThreshold or until a further termination shows which of
+// them is the culprit.
+func TestAmbiguousRequestsAreContainedLate(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	for life := range uint64(quarantine.TiedThreshold) {
-		g.Expect(standing(s, start, "crash")).NotTo(Equal(quarantine.Contained))
-		s.Add(start, end("crash", life, start), end("beside", life, start))
+	for instance := range uint64(quarantine.AmbiguousThreshold) {
+		g.Expect(statusOf(s, start, "crash")).NotTo(Equal(quarantine.Contained))
+		s.Add(start, termination("crash", instance, start), termination("beside", instance, start))
 	}
-	refusal := s.Check(start, named("beside"))
-	g.Expect(refusal).To(HaveField("RetryAfter", quarantine.TiedHold))
-	trial := start.Add(quarantine.TiedHold)
-	g.Expect(standing(s, trial, "beside")).To(Equal(quarantine.OnTrial))
-	s.Add(trial, end("crash", 100, trial))
-	g.Expect(standing(s, trial, "crash")).To(Equal(quarantine.Contained))
-	g.Expect(s.Check(trial, named("crash"))).To(HaveField("RetryAfter", quarantine.Hold))
-	g.Expect(standing(s, trial, "beside")).To(Equal(quarantine.Unknown))
+	refusal := s.Check(start, identityOf("beside"))
+	g.Expect(refusal).To(HaveField("RetryAfter", quarantine.AmbiguousPeriod))
+	probeTime := start.Add(quarantine.AmbiguousPeriod)
+	g.Expect(statusOf(s, probeTime, "beside")).To(Equal(quarantine.HalfOpen))
+	s.Add(probeTime, termination("crash", 100, probeTime))
+	g.Expect(statusOf(s, probeTime, "crash")).To(Equal(quarantine.Contained))
+	g.Expect(s.Check(probeTime, identityOf("crash"))).To(HaveField("RetryAfter", quarantine.ContainmentPeriod))
+	g.Expect(statusOf(s, probeTime, "beside")).To(Equal(quarantine.Unknown))
 }
 
-// TestWhatAContainedRequestExplains counts against no other.
-func TestWhatAContainedRequestExplains(t *testing.T) {
+// TestAttributedTerminationsCountAgainstNoOther: the terminations of a culprit don't count against
+// a request that ran beside it, and its own later ones do.
+func TestAttributedTerminationsCountAgainstNoOther(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	for life := range uint64(3) {
-		s.Add(start, end("beside", life, start))
+	for instance := range uint64(3) {
+		s.Add(start, termination("beside", instance, start))
 	}
-	g.Expect(standing(s, start, "beside")).To(Equal(quarantine.Contained), "nobody knows better yet")
-	for life := range uint64(7) {
-		s.Add(start, end("crash", life, start))
+	g.Expect(statusOf(s, start, "beside")).To(Equal(quarantine.Contained), "no other request is known to share them yet")
+	for instance := range uint64(7) {
+		s.Add(start, termination("crash", instance, start))
 	}
-	g.Expect(standing(s, start, "crash")).To(Equal(quarantine.Contained))
-	g.Expect(standing(s, start, "beside")).To(Equal(quarantine.Unknown))
-	s.Add(start, end("beside", 10, start), end("beside", 11, start))
-	g.Expect(standing(s, start, "beside")).To(Equal(quarantine.Suspected))
-	s.Add(start, end("beside", 12, start))
-	g.Expect(standing(s, start, "beside")).To(Equal(quarantine.Contained), "it crashes them too")
+	g.Expect(statusOf(s, start, "crash")).To(Equal(quarantine.Contained))
+	g.Expect(statusOf(s, start, "beside")).To(Equal(quarantine.Unknown))
+	s.Add(start, termination("beside", 10, start), termination("beside", 11, start))
+	g.Expect(statusOf(s, start, "beside")).To(Equal(quarantine.Suspected))
+	s.Add(start, termination("beside", 12, start))
+	g.Expect(statusOf(s, start, "beside")).To(Equal(quarantine.Contained), "three terminations are its own")
 }
 
-// TestBesideTwoThatCrash: an innocent request that ran in two lives beside one that crashes,
-// and then in a third one beside another, isn't contained.
-func TestBesideTwoThatCrash(t *testing.T) {
+// TestBystanderOfTwoCulprits: an innocent request that ran in two instances beside one culprit, and
+// in a third beside another, isn't contained.
+func TestBystanderOfTwoCulprits(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	s.Add(start, end("crash", 1, start), end("crash", 2, start), end("beside", 2, start), end("crash", 3, start), end("beside", 3, start))
-	g.Expect(standing(s, start, "crash")).To(Equal(quarantine.Apart), "who saw another in its first end may not have told yet")
-	g.Expect(standing(s, start.Add(300*time.Millisecond), "crash")).To(Equal(quarantine.Contained))
-	g.Expect(standing(s, start.Add(300*time.Millisecond), "beside")).To(Equal(quarantine.Unknown))
+	s.Add(start, termination("crash", 1, start), termination("crash", 2, start), termination("beside", 2, start), termination("crash", 3, start), termination("beside", 3, start))
+	g.Expect(statusOf(s, start, "crash")).To(Equal(quarantine.Isolated), "reports of what else ran in the first terminated instance may still arrive")
+	g.Expect(statusOf(s, start.Add(300*time.Millisecond), "crash")).To(Equal(quarantine.Contained))
+	g.Expect(statusOf(s, start.Add(300*time.Millisecond), "beside")).To(Equal(quarantine.Unknown))
 	now := start.Add(500 * time.Millisecond)
-	s.Add(now, end("other", 4, now), end("beside", 4, now))
-	g.Expect(standing(s, now, "beside")).To(Equal(quarantine.Suspected))
-	g.Expect(standing(s, now, "crash")).To(Equal(quarantine.Contained))
+	s.Add(now, termination("other", 4, now), termination("beside", 4, now))
+	g.Expect(statusOf(s, now, "beside")).To(Equal(quarantine.Suspected))
+	g.Expect(statusOf(s, now, "crash")).To(Equal(quarantine.Contained))
 }
 
-// TestTheWayBack: when the hold is over one try goes at a time. One more end contains the
-// request again, a whole run clears it, and without either it is forgotten.
-func TestTheWayBack(t *testing.T) {
+// TestProbeAfterContainment: when the containment period expires, one run at a time is permitted.
+// Another termination contains the request again, and without a completed run its facts expire.
+func TestProbeAfterContainment(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	s.Add(start, end("a", 1, start), end("a", 2, start), end("a", 3, start))
-	trial := start.Add(quarantine.Hold)
-	g.Expect(standing(s, trial, "a")).To(Equal(quarantine.OnTrial))
-	alone, refusal := s.Begin(trial, named("a"))
+	s.Add(start, termination("a", 1, start), termination("a", 2, start), termination("a", 3, start))
+	probeTime := start.Add(quarantine.ContainmentPeriod)
+	g.Expect(statusOf(s, probeTime, "a")).To(Equal(quarantine.HalfOpen))
+	probe, refusal := s.Begin(probeTime, identityOf("a"))
 	g.Expect(refusal).To(BeNil())
-	g.Expect(alone).To(BeTrue())
-	_, refusal = s.Begin(trial, named("a"))
+	g.Expect(probe).To(BeTrue())
+	_, refusal = s.Begin(probeTime, identityOf("a"))
 	g.Expect(refusal.RetryAfter).To(Equal(time.Second))
-	s.Finish(named("a"))
-	g.Expect(s.Check(trial, named("a"))).To(BeNil())
-	s.Add(trial, end("a", 4, trial))
-	g.Expect(standing(s, trial.Add(quarantine.Hold-1), "a")).To(Equal(quarantine.Contained))
-	s.Forget(trial.Add(2 * quarantine.Hold))
+	s.Finish(identityOf("a"))
+	g.Expect(s.Check(probeTime, identityOf("a"))).To(BeNil())
+	s.Add(probeTime, termination("a", 4, probeTime))
+	g.Expect(statusOf(s, probeTime.Add(quarantine.ContainmentPeriod-1), "a")).To(Equal(quarantine.Contained))
+	s.Expire(probeTime.Add(2 * quarantine.ContainmentPeriod))
 	g.Expect(s.Empty()).To(BeTrue())
 }
 
-// TestEntriesTakeTurns: a request on trial is let through by one entry at a time.
-func TestEntriesTakeTurns(t *testing.T) {
+// TestOneEntryProbesAtATime: entries take turns to probe a half-open request.
+func TestOneEntryProbesAtATime(t *testing.T) {
 	g := NewWithT(t)
 	const entries = 3
 	sets := make([]*quarantine.Set, entries)
 	for rank := range sets {
 		sets[rank] = quarantine.New()
-		sets[rank].SetPlace(rank, entries)
-		sets[rank].Add(start, end("a", 1, start), end("a", 2, start), end("a", 3, start))
+		sets[rank].SetRank(rank, entries)
+		sets[rank].Add(start, termination("a", 1, start), termination("a", 2, start), termination("a", 3, start))
 	}
-	turns := map[int]int{}
-	for now := start.Add(quarantine.Hold); now.Before(start.Add(quarantine.Hold + time.Minute)); now = now.Add(100 * time.Millisecond) {
-		let := 0
+	probes := map[int]int{}
+	for now := start.Add(quarantine.ContainmentPeriod); now.Before(start.Add(quarantine.ContainmentPeriod + time.Minute)); now = now.Add(100 * time.Millisecond) {
+		allowed := 0
 		for rank, s := range sets {
-			if s.Check(now, named("a")) == nil {
-				let++
-				turns[rank]++
+			if s.Check(now, identityOf("a")) == nil {
+				allowed++
+				probes[rank]++
 			}
 		}
-		g.Expect(let).To(Equal(1))
+		g.Expect(allowed).To(Equal(1))
 	}
-	g.Expect(turns).To(Equal(map[int]int{0: 200, 1: 200, 2: 200}))
+	g.Expect(probes).To(Equal(map[int]int{0: 200, 1: 200, 2: 200}))
 }
 
-// TestBounds: what callers can bring about stays bounded, and the suspicious stay.
-func TestBounds(t *testing.T) {
+// TestMaxFacts: the number of facts is bounded, and the facts of requests with the most terminations
+// are kept.
+func TestMaxFacts(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	s.Add(start, end("crash", 1, start), end("crash", 2, start), end("crash", 3, start))
+	s.Add(start, termination("crash", 1, start), termination("crash", 2, start), termination("crash", 3, start))
 	for i := range uint64(3 * quarantine.MaxFacts) {
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		s.Add(now, end(fmt.Sprint("beside", i), 100+i, now))
+		s.Add(now, termination(fmt.Sprint("beside", i), 100+i, now))
 	}
 	g.Expect(s.Keys()).To(HaveLen(quarantine.MaxFacts))
-	g.Expect(standing(s, start, "crash")).To(Equal(quarantine.Contained))
+	g.Expect(statusOf(s, start, "crash")).To(Equal(quarantine.Contained))
 }
 
-// TestEntriesAgree: entries that see ends and whole runs in any order, and reconcile now and
-// then, hold the same against every request.
-func TestEntriesAgree(t *testing.T) {
+// TestEntriesConverge: entries that see terminations and completed runs in any order, and reconcile
+// from time to time, derive the same status of each request.
+func TestEntriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const entries = 4
 		sets := make([]*quarantine.Set, entries)
@@ -204,17 +208,17 @@
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-			at := sets[rapid.IntRange(0, entries-1).Draw(t, "entry")]
+			set := sets[rapid.IntRange(0, entries-1).Draw(t, "entry")]
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "request")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if f, clears := at.Whole(now, named(name), rand.Uint64()); clears {
-					at.Add(now, f)
+				if f, cleared := set.RecordCompletion(now, identityOf(name), rand.Uint64()); cleared {
+					set.Add(now, f)
 				}
 			case 1:
-				reconcile(now, at, sets[rapid.IntRange(0, entries-1).Draw(t, "peer")])
+				reconcile(now, set, sets[rapid.IntRange(0, entries-1).Draw(t, "peer")])
 			default:
-				at.Add(now, end(name, uint64(rapid.IntRange(1, 12).Draw(t, "life")), now))
+				set.Add(now, termination(name, uint64(rapid.IntRange(1, 12).Draw(t, "life")), now))
 			}
 		}
 		for range 2 {
@@ -228,15 +232,15 @@
 				t.Fatalf("%v and %v", s.Keys(), sets[0].Keys())
 			}
 			for _, name := range []string{"a", "b", "c"} {
-				if standing(s, now, name) != standing(sets[0], now, name) {
-					t.Fatalf("%s: %v and %v", name, standing(s, now, name), standing(sets[0], now, name))
+				if statusOf(s, now, name) != statusOf(sets[0], now, name) {
+					t.Fatalf("%s: %v and %v", name, statusOf(s, now, name), statusOf(sets[0], now, name))
 				}
 			}
 		}
 	})
 }
 
-// reconcile is one exchange that a begins with b.
+// reconcile is one exchange of facts that a starts with b.
 func reconcile(now time.Time, a, b *quarantine.Set) {
 	missing, wanted := b.Compare(a.Keys())
 	a.Add(now, missing...)
--- a/pkg/scheduler/apart.go
+++ b/pkg/scheduler/apart.go
@@ -15,7 +15,7 @@
 // another one can take them; what has crashed nothing yet may crash the innocent one's.
 
 // SetKeptApart replaces the requests that are to be kept apart.
-func (s *Scheduler) SetKeptApart(requests []quarantine.KeptApart) {
+func (s *Scheduler) SetKeptApart(requests []quarantine.IsolatedRequest) {
 	if len(requests) == 0 && len(s.apart) == 0 {
 		return
 	}
@@ -54,7 +54,7 @@
 	for _, r := range s.apart {
 		if i, ok := assigned[r.Identity]; ok {
 			t.apart.of[r.Identity] = endpoints[i]
-			t.apart.avoided[endpoints[i]] = t.apart.avoided[endpoints[i]] || r.Avoided
+			t.apart.avoided[endpoints[i]] = t.apart.avoided[endpoints[i]] || r.AvoidEndpoint
 		}
 	}
 	return t.apart
--- a/pkg/scheduler/apart_test.go
+++ b/pkg/scheduler/apart_test.go
@@ -25,9 +25,9 @@
 	now := time.Unix(1000, 0)
 	s := forwarding("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0"), engine("c", "dc0")})
-	var apart []quarantine.KeptApart
+	var apart []quarantine.IsolatedRequest
 	for _, name := range []string{"x", "y"} {
-		apart = append(apart, quarantine.KeptApart{Identity: quarantine.IdentityOf("w", "h", name, nil), Avoided: true})
+		apart = append(apart, quarantine.IsolatedRequest{Identity: quarantine.IdentityOf("w", "h", name, nil), AvoidEndpoint: true})
 	}
 	s.SetKeptApart(apart)
 	at := map[string]map[string]int{}
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -37,7 +37,7 @@
 	// runTimes holds how long requests of a kind run; see runtime.go.
 	runTimes map[string]time.Duration
 	// apart are the requests that are kept apart; see apart.go.
-	apart []quarantine.KeptApart
+	apart []quarantine.IsolatedRequest
 	// rank is the entry's place among all, from zero.
 	rank, entries int
 	// pressure is what endpoints say of how much they take.
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -134,22 +134,22 @@
 mutant "lives: engines not asked for their starts" internal/evacuate/move.go 's/^\t\th.Void(err)$/\t\th.Lost()/' "$restarts TestAStartThatIsNotListed"
 mutant "lives: moved for another" internal/gateway/beliefs.go 's/; ok \&\& e.Life() == fleet.Life(l) {/; ok {/' "$restarts TestALeaveOfALife"
 Q=pkg/quarantine/quarantine.go
-J=pkg/quarantine/judge.go
-W=pkg/quarantine/weigh.go
+J=pkg/quarantine/attribution.go
+W=pkg/quarantine/assessment.go
 crash="./internal/gateway -run TestARequestThatCrashesEndpoints"
-mutant "crashing requests: never contained" $Q 's/case !one.contained(now):/case true:/' "$crash"
-mutant "crashing requests: a whole run doesn't clear" $Q 's/if s.suspects\[id\] == nil {/if true {/' ./pkg/quarantine
-mutant "crashing requests: ends from before a whole run count" $Q 's/if known.Whole \&\& known.Identity == f.Identity/if false/' ./pkg/quarantine
-mutant "crashing requests: what another explains counts" $W 's/if explained\[end.Mark\] == 0 {/if explained[end.Mark] >= 0 {/' ./pkg/quarantine
-mutant "crashing requests: what came whole before is suspected" $Q 's/; whole \&\& !f.Whole \&\& f.At/; whole \&\& f.Whole \&\& f.At/' ./pkg/quarantine
-mutant "crashing requests: who had enough ends last first" $J 's/a.enough().Compare(b.enough())/b.enough().Compare(a.enough())/' ./pkg/quarantine
-mutant "crashing requests: tied ones contained at once" $W 's/return most >= confusing \&\& 2\*most >= ends/return false/' ./pkg/quarantine
-mutant "crashing requests: judged before others have told" $W 's/later(one.apartSince, alone).Add(apartSettle)/later(one.apartSince, alone)/' ./pkg/quarantine
-mutant "crashing requests: what ran before counts" pkg/quarantine/apart.go 's/return !apart || sent.After(since)/return !apart || sent != since/' ./pkg/quarantine
-mutant "crashing requests: nobody is acquitted" $J 's/if !one.explains || slices.ContainsFunc/if true || slices.ContainsFunc/' ./pkg/quarantine
-mutant "crashing requests: kept apart at one endpoint" pkg/quarantine/apart.go 's/if taken\[e\] > i\/len(endpoints) {/if taken[e] > i {/' "./pkg/quarantine ./pkg/scheduler"
+mutant "crashing requests: never contained" $Q 's/case !c.contained(now):/case true:/' "$crash"
+mutant "crashing requests: a whole run doesn't clear" $Q 's/if s.candidates\[id\] == nil {/if true {/' ./pkg/quarantine
+mutant "crashing requests: ends from before a whole run count" $Q 's/if other.Completed \&\& other.Identity == f.Identity/if false/' ./pkg/quarantine
+mutant "crashing requests: what another explains counts" $W 's/if attributed\[t.EventID\] == 0 {/if attributed[t.EventID] >= 0 {/' ./pkg/quarantine
+mutant "crashing requests: what came whole before is suspected" $Q 's/; completed \&\& !f.Completed \&\& f.OccurredAt/; completed \&\& f.Completed \&\& f.OccurredAt/' ./pkg/quarantine
+mutant "crashing requests: who had enough ends last first" $J 's/a.thresholdReachedAt().Compare(b.thresholdReachedAt())/b.thresholdReachedAt().Compare(a.thresholdReachedAt())/' ./pkg/quarantine
+mutant "crashing requests: tied ones contained at once" $W 's/return maxShared >= minAmbiguousShared \&\& 2\*maxShared >= terminations/return false/' ./pkg/quarantine
+mutant "crashing requests: judged before others have told" $W 's/latest(c.isolatedSince, unsharedAt).Add(attributionDelay)/latest(c.isolatedSince, unsharedAt)/' ./pkg/quarantine
+mutant "crashing requests: what ran before counts" pkg/quarantine/isolation.go 's/return !isolated || sent.After(since)/return !isolated || sent != since/' ./pkg/quarantine
+mutant "crashing requests: nobody is acquitted" $J 's/if !c.attributed || slices.ContainsFunc/if true || slices.ContainsFunc/' ./pkg/quarantine
+mutant "crashing requests: kept apart at one endpoint" pkg/quarantine/isolation.go 's/if assignments\[e\] > i\/len(endpoints) {/if assignments[e] > i {/' "./pkg/quarantine ./pkg/scheduler"
 mutant "crashing requests: others don't avoid" pkg/scheduler/apart.go 's/return slices.DeleteFunc(slices.Clone(from), func(e \*endpoint) bool { return avoided\[e\] })/return from/' ./pkg/scheduler
-mutant "crashing requests: ends that others tell aren't counted" pkg/quarantine/mark.go 's/if !known || ended.After(until) {/if known || !known || ended.After(until) {/' ./pkg/quarantine
+mutant "crashing requests: ends that others tell aren't counted" pkg/quarantine/event.go 's/if !known || endedAt.After(until) {/if known || !known || endedAt.After(until) {/' ./pkg/quarantine
 mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.findSeeds(ctx)$//' ./internal/controllers
 mutant "closed data centres: used" pkg/scheduler/scheduler.go 's/s.leaving\[spec.ID\] || spec.Closed/s.leaving[spec.ID]/' ./pkg/scheduler
 mutant "closed data centres: not told to others" pkg/fleet/registry.go 's/closed\[rec.Closes\] = true/closed[rec.Closes] = false/' "./internal/gateway -run TestAClosed"
@@ -159,13 +159,13 @@
 mutant "cold endpoints: every entry has the rest" pkg/scheduler/cold.go 's/if s.turnAt(e, entries) < rest {/if rest > 0 {/' ./pkg/scheduler
 mutant "prompts in turn: urgent ones unbound" pkg/scheduler/start.go 's/(s.cfg.ReadInTurn || !it.req.Urgent())/!it.req.Urgent()/' ./pkg/scheduler
 mutant "priorities at engines" platform/headers.go 's/h.Set(HeaderInstance, s.Endpoint)/h.Set(HeaderInstance, s.Endpoint)\n\th.Set(headerPriority, "3")/' ./platform
-mutant "crashing requests: tied ones never contained" $J 's/return s.unexplained >= TiedThreshold || /return /' ./pkg/quarantine
-mutant "crashing requests: tied ones held long" $J 's/^\treturn TiedHold$/\treturn Hold/' ./pkg/quarantine
-mutant "crashing requests: tried by many at once" $Q 's/alone = standing == OnTrial/alone = standing > Contained/' ./pkg/quarantine
+mutant "crashing requests: tied ones never contained" $J 's/return c.unattributed >= AmbiguousThreshold || /return /' ./pkg/quarantine
+mutant "crashing requests: tied ones held long" $J 's/^\treturn AmbiguousPeriod$/\treturn ContainmentPeriod/' ./pkg/quarantine
+mutant "crashing requests: tried by many at once" $Q 's/probe = status == HalfOpen/probe = status > Contained/' ./pkg/quarantine
 mutant "crashing requests: tried by all entries" $Q 's/return slot%s.entries == s.rank/return slot >= 0/' ./pkg/quarantine
-mutant "crashing requests: never tried again" $Q 's/case left > 0:/case true:/' ./pkg/quarantine
+mutant "crashing requests: never tried again" $Q 's/case remaining > 0:/case true:/' ./pkg/quarantine
 mutant "crashing requests: unbounded" $J 's/if len(s.facts) <= MaxFacts {/if true {/' ./pkg/quarantine
-mutant "crashing requests: one life counts twice" pkg/quarantine/mark.go 's/return xxhash.Sum64(append(data, listed.Endpoint...))/return xxhash.Sum64(append(data, listed.Endpoint...)) + rand.Uint64()/;s/"encoding\/binary"/"encoding\/binary"\n\t"math\/rand\/v2"/' ./internal/crashwatch
+mutant "crashing requests: one life counts twice" pkg/quarantine/event.go 's/return xxhash.Sum64(append(data, listed.Endpoint...))/return xxhash.Sum64(append(data, listed.Endpoint...)) + rand.Uint64()/;s/"encoding\/binary"/"encoding\/binary"\n\t"math\/rand\/v2"/' ./internal/crashwatch
 mutant "crashing requests: another workspace's are the same" pkg/quarantine/identity.go 's/\[\]byte(workspace), //' ./pkg/quarantine
 mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: keysOut(c.cfg.Beliefs.guard.Keys())//' ./internal/peering
 mutant "crashing requests: told by none but who saw them" internal/peering/server.go 's/resp.RequestFacts, resp.WantedRequestFacts = factsOut(now, missing), keysOut(wanted)/resp.WantedRequestFacts, _ = keysOut(wanted), missing/' ./internal/peering
