--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -30,7 +30,7 @@
 		g.pause(from, a.Pause)
 	}
 	served := a.Signed && status < http.StatusMultipleChoices
-	st, holds := backpressure.StatementOf(from.Life(), a.Limit, served, sent, now)
+	st, holds := backpressure.NewLimitReport(from.Life(), a.Limit, served, sent, now)
 	if holds {
 		g.beliefs.HearLimit(now, st)
 	}
@@ -68,10 +68,10 @@
 func (g *Gateway) admit(to fleet.Endpoint, s upstream.Sending) (err error) {
 	g.dispatcher.ViewScheduler(func(now time.Time, sch *scheduler.Scheduler) {
 		asked := sch.Backpressure()
-		if left := asked.PausedFor(now, to.Life()); left > 0 {
+		if left := asked.PauseRemaining(now, to.Life()); left > 0 {
 			err = pausedError{to.ID, left}
 		} else if !s.Counted {
-			asked.Sent(now, to)
+			asked.RecordSent(now, to)
 		}
 	})
 	return err
@@ -79,15 +79,15 @@
 
 // pausedFor is for how much longer an endpoint wants nothing.
 func (g *Gateway) pausedFor(l fleet.Life) (left time.Duration) {
-	g.dispatcher.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { left = s.Backpressure().PausedFor(now, l) })
+	g.dispatcher.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { left = s.Backpressure().PauseRemaining(now, l) })
 	return left
 }
 
 // onLimit takes the news of a limit that came, went or became another.
 func (g *Gateway) onLimit(c backpressure.Change, source string) {
-	g.metrics.Limits.WithLabelValues(c.Now.Kind.String()).Inc()
-	g.log.Info("endpoint limit", "endpoint", c.Life.Endpoint, "start", c.Life.Incarnation, "per_second", c.Now, "before", c.Before,
-		"held", c.For.Round(time.Millisecond), "sent", c.Sent, "source", peering.SourceLabel(source), "fleet", g.fleetRevision())
+	g.metrics.Limits.WithLabelValues(c.Current.Kind.String()).Inc()
+	g.log.Info("endpoint limit", "endpoint", c.Instance.Endpoint, "start", c.Instance.Incarnation, "per_second", c.Current, "before", c.Previous,
+		"held", c.Duration.Round(time.Millisecond), "sent", c.RequestsSent, "source", peering.SourceLabel(source), "fleet", g.fleetRevision())
 	if source == peering.SourceEndpoint {
 		g.tellSoon()
 	}
--- a/internal/peering/limits.go
+++ b/internal/peering/limits.go
@@ -17,14 +17,14 @@
 // entry of another data centre, tells it on.
 
 // HearLimit takes what an answer that this entry had says of a limit.
-func (b *Beliefs) HearLimit(now time.Time, st backpressure.Statement) {
+func (b *Beliefs) HearLimit(now time.Time, st backpressure.LimitReport) {
 	if st.Limit.Kind == backpressure.Unlimited && b.noneThrottles() {
 		// As nearly all answers say, so that they wait for nobody.
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.hearLimit(now, st, backpressure.FromAnswer, SourceEndpoint)
+	b.hearLimit(now, st, backpressure.FromResponse, SourceEndpoint)
 }
 
 func (b *Beliefs) noneThrottles() (none bool) {
@@ -36,10 +36,10 @@
 func (b *Beliefs) OnLimit(told func(c backpressure.Change, source string)) { b.onLimit = told }
 
 // hearLimit gives a statement to the scheduler. The caller holds the lock.
-func (b *Beliefs) hearLimit(now time.Time, st backpressure.Statement, from backpressure.Source, source string) {
+func (b *Beliefs) hearLimit(now time.Time, st backpressure.LimitReport, from backpressure.Source, source string) {
 	var change backpressure.Change
 	changed := false
-	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { change, changed = s.Backpressure().Hear(now, st, from) })
+	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { change, changed = s.Backpressure().Apply(now, st, from) })
 	if changed && b.onLimit != nil {
 		b.onLimit(change, source)
 	}
@@ -47,9 +47,9 @@
 
 // hearLimits takes what the record of another entry tells. The caller holds the lock.
 func (b *Beliefs) hearLimits(now time.Time, r *peerv1.NodeRecord) {
-	from := backpressure.FromNear
+	from := backpressure.FromSameDataCenter
 	if r.GetDataCenter() != b.view.Self().GetDataCenter() {
-		from = backpressure.FromFar
+		from = backpressure.FromOtherDataCenter
 	}
 	for _, told := range r.GetLimits() {
 		e := b.lifeOf(told.GetEndpoint())
@@ -64,9 +64,9 @@
 }
 
 // limitIn reads a limit; one that is no number says nothing.
-func limitIn(now time.Time, l fleet.Life, told *peerv1.EndpointLimit) (st backpressure.Statement, readable bool) {
+func limitIn(now time.Time, l fleet.Life, told *peerv1.EndpointLimit) (st backpressure.LimitReport, readable bool) {
 	age := time.Duration(told.GetAgeMs()) * time.Millisecond
-	st = backpressure.Statement{Life: l, At: now.Add(-age)}
+	st = backpressure.LimitReport{Instance: l, ReportedAt: now.Add(-age)}
 	if told.GetNone() {
 		return st, true
 	}
@@ -82,20 +82,20 @@
 // the record stays as it is, ages included.
 func (b *Beliefs) tellLimits(now time.Time, r *peerv1.NodeRecord) {
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
-		s.Backpressure().Forget(now)
+		s.Backpressure().Expire(now)
 		if version := s.Backpressure().Version(); version != b.limitsVersion {
 			b.limitsVersion = version
-			r.Limits = limitsOut(now, s.Backpressure().ToTell())
+			r.Limits = limitsOut(now, s.Backpressure().Announcements())
 		}
 	})
 }
 
-func limitsOut(now time.Time, told []backpressure.Statement) []*peerv1.EndpointLimit {
+func limitsOut(now time.Time, told []backpressure.LimitReport) []*peerv1.EndpointLimit {
 	out := make([]*peerv1.EndpointLimit, 0, len(told))
 	for _, st := range told {
-		age := min(max(now.Sub(st.At).Milliseconds(), 0), math.MaxUint32)
+		age := min(max(now.Sub(st.ReportedAt).Milliseconds(), 0), math.MaxUint32)
 		out = append(out, &peerv1.EndpointLimit{
-			Endpoint: LifeHash(st.Life), None: st.Limit.Kind == backpressure.Unlimited, PerSecond: st.Limit.PerSecond, AgeMs: uint32(age),
+			Endpoint: LifeHash(st.Instance), None: st.Limit.Kind == backpressure.Unlimited, PerSecond: st.Limit.PerSecond, AgeMs: uint32(age),
 		})
 	}
 	return out
@@ -108,11 +108,11 @@
 func isThere(s membership.Status) bool { return s == membership.Alive || s == membership.Suspect }
 
 // backpressurePlace is where this entry stands among itself and the members that are there.
-func backpressurePlace(self *peerv1.NodeRecord, members []membership.Member) backpressure.Place {
-	p := backpressure.Place{
+func backpressurePlace(self *peerv1.NodeRecord, members []membership.Member) backpressure.Position {
+	p := backpressure.Position{
 		DataCenter: self.GetDataCenter(),
 		Entries:    map[string]int{self.GetDataCenter(): 1},
-		Before:     map[string]int{},
+		Preceding:  map[string]int{},
 	}
 	for _, m := range members {
 		if !isThere(m.Status) {
@@ -120,7 +120,7 @@
 		}
 		p.Entries[m.DataCenter]++
 		if m.VM < self.GetVm() {
-			p.Before[m.DataCenter]++
+			p.Preceding[m.DataCenter]++
 		}
 	}
 	return p
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -184,7 +184,7 @@
 			later = append(later, a)
 			continue
 		}
-		st, _ := backpressure.StatementOf(a.of.Life(), a.limit, true, a.sent, f.now)
+		st, _ := backpressure.NewLimitReport(a.of.Life(), a.limit, true, a.sent, f.now)
 		a.to.beliefs.HearLimit(f.now, st)
 		if a.limit.Kind == backpressure.Limited && a.to.told.IsZero() {
 			a.to.told = f.now
@@ -362,14 +362,14 @@
 	// sent counts what the third one sends within a minute.
 	sent := func(others membership.Status) (n int) {
 		s := backpressure.New()
-		s.SetPlace(backpressurePlace(self, []membership.Member{
+		s.SetPosition(backpressurePlace(self, []membership.Member{
 			{Contact: membership.Contact{VM: "vm-0", DataCenter: "dc"}, Status: others},
 			{Contact: membership.Contact{VM: "vm-2", DataCenter: "dc"}, Status: others},
 		}))
-		s.Hear(now, backpressure.Statement{Life: desk.Life(), At: now, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: 0.5}}, backpressure.FromNear)
+		s.Apply(now, backpressure.LimitReport{Instance: desk.Life(), ReportedAt: now, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: 0.5}}, backpressure.FromSameDataCenter)
 		for at := time.Duration(0); at < time.Minute; at += limitStep {
-			if s.Takes(now.Add(at), desk) {
-				s.Sent(now.Add(at), desk)
+			if s.Accepts(now.Add(at), desk) {
+				s.RecordSent(now.Add(at), desk)
 				n++
 			}
 		}
--- a/pkg/backpressure/backpressure.go
+++ b/pkg/backpressure/backpressure.go
@@ -1,51 +1,52 @@
-// Package backpressure keeps what throttling endpoints say in their answers, and tells an entry
-// what it may still send to them.
+// Package backpressure records the rate limits and pauses that endpoints report in their responses,
+// and decides what an entry may still send to them.
 //
 // # Limits
 //
-// An endpoint names in its answers how many requests a second it takes from all entries
-// together, for as long as it does so. Any entry that is told passes it on to the others
-// (Statement); the newest statement holds. Entries don't ask each other before each request,
-// so each has a part: a few of them share the limit (sharers), those of the endpoint's own
-// data centre before others, and not the same ones at each endpoint. Each sharer has a token
-// bucket. What all sharers send in some time is the limit and a bounded number more, whatever
-// the number of entries.
+// An endpoint names in its responses how many requests a second it accepts from all entries
+// together, for as long as it throttles. An entry that receives a limit announces it to the others
+// (LimitReport); the latest report applies. Entries don't coordinate each request. Instead, a few
+// of them (the sharers) split the limit evenly, and each enforces its share with a token bucket.
+// Entries in the endpoint's own data centre are sharers before others, and the sharers differ
+// between endpoints. What all sharers send in any interval is at most the limit plus a bounded
+// number of requests, whatever the number of entries.
 //
-//	          an answer names one                an answer to a later
-//	[no limit] ----------------> [limited] ------------------------> [no limit, told for a while]
-//	              or a peer tells   | ^  another number               request names none, or a peer tells
-//	                                +-+
+//	           a response names a limit,          a response to a later request names
+//	           or a peer announces one            none, or a peer announces that
+//	[no limit] ------------------------> [limited] -------------------> [limit removed, announced
+//	                                       |  ^                          for unlimitedRetention]
+//	                                       +--+ another limit
 //
 // The package does no I/O and reads no clock; the caller passes the time and serialises calls.
 package backpressure
 
 import "strconv"
 
-// Kind tells apart what an answer says of a limit.
+// Kind classifies what a response states about a limit.
 type Kind int
 
 // The kinds.
 const (
-	// Unlimited: the answer names no limit, so that its endpoint has none.
+	// Unlimited: the response names no limit, so the endpoint has none.
 	Unlimited Kind = iota
-	// Limited: it names one.
+	// Limited: the response names a limit.
 	Limited
-	// Unreadable: what it names can't be read and says nothing: what was said before holds.
+	// Unreadable: the limit named can't be parsed and is ignored; the previous one applies.
 	Unreadable
 )
 
-// String implements fmt.Stringer, for metrics.
+// String returns the name of the kind, for metrics.
 func (k Kind) String() string { return [...]string{"unlimited", "limited", "unreadable"}[k] }
 
-// Limit is what one answer says of how many requests a second its endpoint takes, of all
-// entries together.
+// Limit is the number of requests a second that an endpoint accepts from all entries together, as
+// stated by one response.
 type Limit struct {
 	Kind Kind
 	// PerSecond is zero unless the kind is Limited.
 	PerSecond float64
 }
 
-// String implements fmt.Stringer, for logs.
+// String returns the limit in requests a second, or the kind if there is none, for logs.
 func (l Limit) String() string {
 	switch l.Kind {
 	case Limited:
@@ -57,15 +58,15 @@
 	}
 }
 
-// sameShare is up to what ratio two limits count as the same: a number that changes a little
-// with each answer isn't worth telling to all entries each time.
-const sameShare = 1.1
+// similarRatio is the ratio up to which two limits count as equal. A limit that changes slightly
+// with each response isn't worth announcing to all entries each time.
+const similarRatio = 1.1
 
-// like reports whether another limit is no news beside this one.
-func (l Limit) like(other Limit) bool {
+// similar reports whether two limits are equal up to similarRatio.
+func (l Limit) similar(other Limit) bool {
 	if l.Kind != other.Kind {
 		return false
 	}
 	low, high := min(l.PerSecond, other.PerSecond), max(l.PerSecond, other.PerSecond)
-	return high <= low*sameShare
+	return high <= low*similarRatio
 }
--- a/pkg/backpressure/pause.go
+++ b/pkg/backpressure/pause.go
@@ -6,22 +6,22 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// Pause records that an endpoint wants nothing from this entry for some time, and reports
-// whether that is news: it didn't want anything before, either. A shorter one takes nothing
-// off a longer one.
-func (s *Set) Pause(now time.Time, l fleet.Life, lasts time.Duration) (news bool) {
-	before := s.pauses[l]
-	until := now.Add(lasts)
-	if until.After(before) {
-		s.pauses[l] = until
+// Pause records that an endpoint accepts no requests from this entry for some time, and reports
+// whether a pause started, as opposed to one in effect being repeated. A shorter pause doesn't
+// shorten a longer one.
+func (s *Set) Pause(now time.Time, instance fleet.Life, duration time.Duration) (started bool) {
+	previous := s.pauses[instance]
+	until := now.Add(duration)
+	if until.After(previous) {
+		s.pauses[instance] = until
 	}
-	return !now.Before(before)
+	return !now.Before(previous)
 }
 
-// PausedFor is for how much longer an endpoint wants nothing from this entry.
-func (s *Set) PausedFor(now time.Time, l fleet.Life) time.Duration {
+// PauseRemaining returns for how much longer an endpoint accepts no requests from this entry.
+func (s *Set) PauseRemaining(now time.Time, instance fleet.Life) time.Duration {
 	if len(s.pauses) == 0 {
 		return 0
 	}
-	return max(s.pauses[l].Sub(now), 0)
+	return max(s.pauses[instance].Sub(now), 0)
 }
--- a/pkg/backpressure/set.go
+++ b/pkg/backpressure/set.go
@@ -7,125 +7,126 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// Set is what one entry knows of what throttling endpoints say.
+// Set holds the limits and pauses of throttling endpoints as observed by one entry.
 type Set struct {
-	place  Place
-	states map[fleet.Life]*state
-	// pauses are until when endpoints want nothing from this entry.
+	position Position
+	states   map[fleet.Life]*state
+	// pauses maps instances to the end of their pause for this entry.
 	pauses  map[fleet.Life]time.Time
 	version uint64
 }
 
-// New makes an empty set of an entry that knows of no other.
+// New returns an empty set of an entry without known peers.
 func New() *Set {
 	return &Set{states: map[fleet.Life]*state{}, pauses: map[fleet.Life]time.Time{}}
 }
 
-// SetPlace tells where this entry stands among all.
-func (s *Set) SetPlace(p Place) { s.place = p }
+// SetPosition sets the position of this entry among all entries.
+func (s *Set) SetPosition(p Position) { s.position = p }
 
 // Idle reports whether no endpoint is known to throttle.
 func (s *Set) Idle() bool { return len(s.states) == 0 && len(s.pauses) == 0 }
 
-// limited returns the state of an endpoint that names a limit, or nil.
-func (s *Set) limited(l fleet.Life) *state {
+// limitedState returns the state of an instance with a limit, or nil.
+func (s *Set) limitedState(instance fleet.Life) *state {
 	if len(s.states) == 0 {
 		return nil
 	}
-	known := s.states[l]
-	if known == nil || known.limit.Kind != Limited {
+	st := s.states[instance]
+	if st == nil || st.limit.Kind != Limited {
 		return nil
 	}
-	return known
+	return st
 }
 
-// Takes reports whether an endpoint takes a request from this entry now.
-func (s *Set) Takes(now time.Time, e fleet.Endpoint) bool {
-	if s.PausedFor(now, e.Life()) > 0 {
+// Accepts reports whether an endpoint accepts a request from this entry now.
+func (s *Set) Accepts(now time.Time, e fleet.Endpoint) bool {
+	if s.PauseRemaining(now, e.Life()) > 0 {
 		return false
 	}
-	known := s.limited(e.Life())
-	if known == nil {
+	st := s.limitedState(e.Life())
+	if st == nil {
 		return true
 	}
-	known.bucket.fill(now, s.part(e, known.limit))
-	return known.bucket.holds()
+	st.bucket.refill(now, s.shareOf(e, st.limit))
+	return st.bucket.hasToken()
 }
 
-// Sent counts a request that goes to an endpoint, whether or not it takes one.
-func (s *Set) Sent(now time.Time, e fleet.Endpoint) {
-	known := s.limited(e.Life())
-	if known == nil {
+// RecordSent counts a request sent to an endpoint, whether or not the endpoint accepts it.
+func (s *Set) RecordSent(now time.Time, e fleet.Endpoint) {
+	st := s.limitedState(e.Life())
+	if st == nil {
 		return
 	}
-	known.sent++
-	known.bucket.fill(now, s.part(e, known.limit))
-	known.bucket.tokens--
+	st.sent++
+	st.bucket.refill(now, s.shareOf(e, st.limit))
+	st.bucket.tokens--
 }
 
-// Room is what throttling endpoints take from this entry.
-type Room struct {
-	// Open says that some endpoint takes whatever it is sent.
-	Open bool
-	// opens says that one does so after opensIn, when its pause is over.
-	opens   bool
-	opensIn time.Duration
-	// tokens can be sent now, and perSecond in each second from now on.
+// Capacity sums up what endpoints accept from this entry.
+type Capacity struct {
+	// Unlimited reports whether some endpoint has neither a limit nor a pause.
+	Unlimited bool
+	// resumes reports whether a paused endpoint accepts requests again after resumesIn.
+	resumes   bool
+	resumesIn time.Duration
+	// tokens is the number of requests that can be sent now, and perSecond the rate from now on.
 	tokens, perSecond float64
-	// ofAll is what endpoints with limits take from all entries in a second.
-	ofAll float64
+	// totalPerSecond is the rate that endpoints with limits accept from all entries together.
+	totalPerSecond float64
 }
 
-// Add adds what one more endpoint takes.
-func (s *Set) Add(now time.Time, r *Room, e fleet.Endpoint) {
-	paused := s.PausedFor(now, e.Life())
-	known := s.limited(e.Life())
+// AddCapacity adds to c what one more endpoint accepts.
+func (s *Set) AddCapacity(now time.Time, c *Capacity, e fleet.Endpoint) {
+	pause := s.PauseRemaining(now, e.Life())
+	st := s.limitedState(e.Life())
 	switch {
-	case paused > 0:
-		r.opensAfter(paused)
-	case known == nil:
-		r.Open = true
+	case pause > 0:
+		c.resumeAfter(pause)
+	case st == nil:
+		c.Unlimited = true
 	default:
-		p := s.part(e, known.limit)
-		known.bucket.fill(now, p)
-		r.tokens += known.bucket.tokens
-		r.perSecond += p.perSecond
-		r.ofAll += rateOf(known.limit)
+		own := s.shareOf(e, st.limit)
+		st.bucket.refill(now, own)
+		c.tokens += st.bucket.tokens
+		c.perSecond += own.perSecond
+		c.totalPerSecond += effectiveRate(st.limit)
 	}
 }
 
-func (r *Room) opensAfter(wait time.Duration) {
-	if !r.opens || wait < r.opensIn {
-		r.opens, r.opensIn = true, wait
+func (c *Capacity) resumeAfter(wait time.Duration) {
+	if !c.resumes || wait < c.resumesIn {
+		c.resumes, c.resumesIn = true, wait
 	}
 }
 
-// None reports whether nothing was added.
-func (r Room) None() bool { return r == Room{} }
+// Empty reports whether no endpoint was added.
+func (c Capacity) Empty() bool { return c == Capacity{} }
 
-// Within reports whether a request can be sent within some time, behind so many others.
-func (r Room) Within(wait time.Duration, ahead int) bool {
-	if r.Open || r.opens && r.opensIn <= wait {
+// AvailableWithin reports whether a request with the given number of requests ahead of it can be
+// sent within some time.
+func (c Capacity) AvailableWithin(wait time.Duration, ahead int) bool {
+	if c.Unlimited || c.resumes && c.resumesIn <= wait {
 		return true
 	}
-	return r.tokens+r.perSecond*wait.Seconds() >= float64(ahead)+almostOne
+	return c.tokens+c.perSecond*wait.Seconds() >= float64(ahead)+minToken
 }
 
-// Wait is after what time a request can be sent behind so many others; if this entry has no
-// part, when some other one may have sent one.
-func (r Room) Wait(ahead int) time.Duration {
-	if r.Within(0, ahead) {
+// WaitTime returns the time after which a request with the given number of requests ahead of it can
+// be sent. If this entry has no share, it is the time after which another entry may have sent one.
+func (c Capacity) WaitTime(ahead int) time.Duration {
+	if c.AvailableWithin(0, ahead) {
 		return 0
 	}
 	var waits []time.Duration
-	if r.opens {
-		waits = append(waits, r.opensIn)
+	if c.resumes {
+		waits = append(waits, c.resumesIn)
 	}
 	switch {
-	case r.perSecond > 0:
-		waits = append(waits, seconds((float64(ahead+1)-r.tokens)/r.perSecond))
-	case r.ofAll > 0:
-		waits = append(waits, seconds(1/r.ofAll))
+	case c.perSecond > 0:
+		waits = append(waits, seconds((float64(ahead+1)-c.tokens)/c.perSecond))
+	case c.totalPerSecond > 0:
+		waits = append(waits, seconds(1/c.totalPerSecond))
 	}
 	if len(waits) == 0 {
 		return 0
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -64,7 +64,7 @@
 	f := &limitedFleet{begin: time.Unix(1000, 0)}
 	for rank := range size {
 		s := forwarding("dc0", uint64(rank))
-		s.Backpressure().SetPlace(backpressure.Place{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Before: map[string]int{"dc0": rank}})
+		s.Backpressure().SetPosition(backpressure.Position{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Preceding: map[string]int{"dc0": rank}})
 		s.SetEndpoints(f.begin, endpoints)
 		for _, e := range endpoints {
 			f.tell(s, e, limits)
@@ -79,9 +79,9 @@
 	if !named {
 		return
 	}
-	s.Backpressure().Hear(f.begin, backpressure.Statement{
-		Life: e.Life(), At: f.begin, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
-	}, backpressure.FromAnswer)
+	s.Backpressure().Apply(f.begin, backpressure.LimitReport{
+		Instance: e.Life(), ReportedAt: f.begin, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
+	}, backpressure.FromResponse)
 }
 
 // play has callers send so many requests a second, to entries in turn, and the endpoints answer
--- a/pkg/scheduler/reach.go
+++ b/pkg/scheduler/reach.go
@@ -45,7 +45,7 @@
 
 // takes reports whether a request may go to an endpoint now.
 func (s *Scheduler) takes(now time.Time, e *endpoint) bool {
-	return s.allowed(now, e) && s.bears(now, e) && s.pressure.Takes(now, e.spec)
+	return s.allowed(now, e) && s.bears(now, e) && s.pressure.Accepts(now, e.spec)
 }
 
 // bestProbe reports whether an endpoint may be the probe of its lost data centre: it has
@@ -62,7 +62,7 @@
 func (s *Scheduler) sentTo(now time.Time, e *endpoint) {
 	e.breaker.Sent(now)
 	e.sentCold(now)
-	s.pressure.Sent(now, e.spec)
+	s.pressure.RecordSent(now, e.spec)
 	if b := s.dataCenterBreaker(e); b != nil {
 		b.Sent(now)
 	}
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -116,7 +116,7 @@
 			e.gone = true
 		}
 	}
-	s.pressure.Listed(now, func(l fleet.Life) bool { return s.live(l) != nil })
+	s.pressure.UpdateListed(now, func(l fleet.Life) bool { return s.live(l) != nil })
 	clear(s.targets)
 	s.sumShares()
 }
--- a/pkg/scheduler/start.go
+++ b/pkg/scheduler/start.go
@@ -82,7 +82,7 @@
 	q.leastAt = now
 	q.leastBacklog = math.Inf(1)
 	for e := range s.staying(target) {
-		if s.allowed(now, e) && s.pressure.Takes(now, e.spec) && !s.unknownRemote(now, e) {
+		if s.allowed(now, e) && s.pressure.Accepts(now, e.spec) && !s.unknownRemote(now, e) {
 			q.leastBacklog = min(q.leastBacklog, s.backlog(now, e))
 		}
 	}
--- a/pkg/scheduler/status.go
+++ b/pkg/scheduler/status.go
@@ -36,7 +36,7 @@
 		st := EndpointStatus{
 			ID:           e.spec.ID,
 			Leaving:      e.leaving,
-			Withheld:     !s.pressure.Takes(now, e.spec),
+			Withheld:     !s.pressure.Accepts(now, e.spec),
 			Breaker:      e.breaker.State(now),
 			Running:      e.ownRunning,
 			PeersRunning: e.peersRunning,
--- a/pkg/scheduler/withheld.go
+++ b/pkg/scheduler/withheld.go
@@ -18,10 +18,10 @@
 // as a generation that is moved there, and counts it if so.
 func (s *Scheduler) Admit(now time.Time, l fleet.Life) bool {
 	e := s.live(l)
-	if e == nil || !s.pressure.Takes(now, e.spec) {
+	if e == nil || !s.pressure.Accepts(now, e.spec) {
 		return false
 	}
-	s.pressure.Sent(now, e.spec)
+	s.pressure.RecordSent(now, e.spec)
 	return true
 }
 
@@ -39,23 +39,23 @@
 	room := s.roomFor(now, it)
 	within := max(it.startBy.Sub(now)-time.Duration(ahead+1)*turnDelay, 0)
 	// Without any endpoint there is nothing to wait for but that one is back.
-	if room.None() || room.Within(within, ahead) {
+	if room.Empty() || room.AvailableWithin(within, ahead) {
 		return nil
 	}
 	s.pressedAt = now
-	return s.refusal(outcome.CodeEndpointsThrottling, room.Wait(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
+	return s.refusal(outcome.CodeEndpointsThrottling, room.WaitTime(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
 }
 
 // roomFor sums what the endpoints that a request may go to take from this entry. Those that
 // requests had better not wait for don't count.
-func (s *Scheduler) roomFor(now time.Time, it *item) backpressure.Room {
-	var room backpressure.Room
+func (s *Scheduler) roomFor(now time.Time, it *item) backpressure.Capacity {
+	var room backpressure.Capacity
 	for e := range s.staying(it.req.Row.Target) {
-		if room.Open {
+		if room.Unlimited {
 			break
 		}
 		if it.req.mayServe(e) && !s.believedGone(now, e) {
-			s.pressure.Add(now, &room, e.spec)
+			s.pressure.AddCapacity(now, &room, e.spec)
 		}
 	}
 	return room
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -188,20 +188,20 @@
 mutant "suspensions: a stop between two reads counts" internal/clock/kernel.go 's/if after-before <= maxApart {/if after-before >= 0 {/' ./internal/clock
 
 N=pkg/backpressure
-mutant "throttling: limits not kept" $N/set.go 's/return known.bucket.holds()/return true/' "./pkg/scheduler -run Limited"
-mutant "throttling: each entry takes all" $N/part.go 's/own := rate \/ float64(sharers)/own := rate/' "./pkg/scheduler -run Limited"
-mutant "throttling: all entries share" $N/part.go 's/if s.place.turn(e) >= sharers {/if false {/' "./pkg/scheduler ./internal/peering -run Limit"
-mutant "throttling: not told to others" internal/peering/limits.go 's/r.Limits = limitsOut(now, s.Backpressure().ToTell())/_ = limitsOut/' "./internal/peering -run Limit"
-mutant "throttling: not told to other data centres" internal/peering/limits.go 's/from = backpressure.FromFar/from = backpressure.FromNear/' "./internal/peering -run Limit"
-mutant "throttling: taken back by an earlier request's answer" $N/statements.go 's/Limit: limit, At: sent}, true/Limit: limit, At: received}, true/' ./pkg/backpressure
-mutant "throttling: taken back by an error" $N/statements.go 's/case limit.Kind == Unlimited \&\& served:/case limit.Kind == Unlimited:/' ./pkg/backpressure
-mutant "throttling: older news believed" $N/statements.go 's/case !st.At.After(known.at):/case false:/' ./pkg/backpressure
-mutant "throttling: forgotten with the record" $N/statements.go 's/now.Sub(known.unlisted) >= unlistedFor/true/' ./pkg/backpressure
+mutant "throttling: limits not kept" $N/set.go 's/return st.bucket.hasToken()/return true/' "./pkg/scheduler -run Limited"
+mutant "throttling: each entry takes all" $N/share.go 's/perSharer := rate \/ float64(sharers)/perSharer := rate/' "./pkg/scheduler -run Limited"
+mutant "throttling: all entries share" $N/share.go 's/if s.position.rankAt(e) >= sharers {/if false {/' "./pkg/scheduler ./internal/peering -run Limit"
+mutant "throttling: not told to others" internal/peering/limits.go 's/r.Limits = limitsOut(now, s.Backpressure().Announcements())/_ = limitsOut/' "./internal/peering -run Limit"
+mutant "throttling: not told to other data centres" internal/peering/limits.go 's/from = backpressure.FromOtherDataCenter/from = backpressure.FromSameDataCenter/' "./internal/peering -run Limit"
+mutant "throttling: taken back by an earlier request's answer" $N/reports.go 's/Limit: limit, ReportedAt: sent}, true/Limit: limit, ReportedAt: received}, true/' ./pkg/backpressure
+mutant "throttling: taken back by an error" $N/reports.go 's/case limit.Kind == Unlimited \&\& served:/case limit.Kind == Unlimited:/' ./pkg/backpressure
+mutant "throttling: older news believed" $N/reports.go 's/case !r.ReportedAt.After(st.reportedAt):/case false:/' ./pkg/backpressure
+mutant "throttling: forgotten with the record" $N/reports.go 's/now.Sub(st.unlistedSince) >= unlistedRetention/true/' ./pkg/backpressure
 mutant "throttling: who finds no room waits" pkg/scheduler/withheld.go 's/if s.pressure.Idle() {/if true {/' "./pkg/scheduler -run Limited"
 mutant "throttling: generations moved there" internal/evacuate/input.go 's/st.Withheld || //' "./internal/gateway -run TakeMore"
-mutant "pauses: not kept by requests" $N/set.go 's/if s.PausedFor(now, e.Life()) > 0 {/if false {/' "./pkg/scheduler -run Pause"
+mutant "pauses: not kept by requests" $N/set.go 's/if s.PauseRemaining(now, e.Life()) > 0 {/if false {/' "./pkg/scheduler -run Pause"
 mutant "pauses: not kept by calls of engines" internal/upstream/pool.go 's/if p.hooks.Admit == nil {/if true {/' "./internal/gateway -run Pause"
-mutant "pauses: cut short by a shorter one" $N/pause.go 's/if until.After(before) {/if true {/' "./pkg/scheduler -run Pause"
+mutant "pauses: cut short by a shorter one" $N/pause.go 's/if until.After(previous) {/if true {/' "./pkg/scheduler -run Pause"
 mutant "pauses: moved generations don't wait" internal/relay/pass.go 's/^\tp.awaitPause(ctx, h.Target)$/\t_ = p.awaitPause/' "./internal/gateway -run Pause"
 mutant "leaves: not taken from answers" internal/gateway/asks.go 's/if a.Leaving {/if false {/' "./internal/gateway -run Leav"
 mutant "leaves: forgotten with the record" pkg/drain/drain.go 's/if !told || now.Sub(s.unlisted\[e\]) >= UnlistedFor {/if told || !told {/' ./pkg/drain
