--- a/pkg/scheduler/isolation.go
+++ b/pkg/scheduler/isolation.go
@@ -17,7 +17,7 @@
 // and incriminate a harmless suspect.
 
 // SetIsolatedRequests replaces the set of requests to isolate.
-func (s *Scheduler) SetIsolatedRequests(requests []quarantine.KeptApart) {
+func (s *Scheduler) SetIsolatedRequests(requests []quarantine.IsolatedRequest) {
 	if len(requests) == 0 && len(s.isolated) == 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 	for _, r := range s.isolated {
 		if i, ok := assigned[r.Identity]; ok {
 			t.isolation.byIdentity[r.Identity] = endpoints[i]
-			t.isolation.avoided[endpoints[i]] = t.isolation.avoided[endpoints[i]] || r.Avoided
+			t.isolation.avoided[endpoints[i]] = t.isolation.avoided[endpoints[i]] || r.AvoidEndpoint
 		}
 	}
 	return t.isolation
--- a/pkg/scheduler/isolation_test.go
+++ b/pkg/scheduler/isolation_test.go
@@ -26,9 +26,9 @@
 	now := time.Unix(1000, 0)
 	s := newForwardingScheduler("dc0", 1)
 	s.SetEndpoints(now, []fleet.Endpoint{engine("a", "dc0"), engine("b", "dc0"), engine("c", "dc0")})
-	var isolated []quarantine.KeptApart
+	var isolated []quarantine.IsolatedRequest
 	for _, name := range []string{"x", "y"} {
-		isolated = append(isolated, quarantine.KeptApart{Identity: quarantine.IdentityOf("w", "h", name, nil), Avoided: true})
+		isolated = append(isolated, quarantine.IsolatedRequest{Identity: quarantine.IdentityOf("w", "h", name, nil), AvoidEndpoint: true})
 	}
 	s.SetIsolatedRequests(isolated)
 	sentTo := map[string]map[string]int{}
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -58,7 +58,7 @@
 	f := &limitedFleet{start: time.Unix(1000, 0)}
 	for rank := range size {
 		s := newForwardingScheduler("dc0", uint64(rank))
-		s.Backpressure().SetPlace(backpressure.Place{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Before: map[string]int{"dc0": rank}})
+		s.Backpressure().SetPosition(backpressure.Position{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Preceding: map[string]int{"dc0": rank}})
 		s.SetEndpoints(f.start, endpoints)
 		for _, e := range endpoints {
 			f.setLimit(s, e, limits)
@@ -74,9 +74,9 @@
 	if !ok {
 		return
 	}
-	s.Backpressure().Hear(f.start, backpressure.Statement{
-		Life: e.Life(), At: f.start, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
-	}, backpressure.FromAnswer)
+	s.Backpressure().Apply(f.start, backpressure.LimitReport{
+		Instance: e.Life(), ReportedAt: f.start, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
+	}, backpressure.FromResponse)
 }
 
 // run submits perSecond requests per second to the entries in round robin; the endpoints
--- a/pkg/scheduler/reachability.go
+++ b/pkg/scheduler/reachability.go
@@ -48,7 +48,7 @@
 // accepts reports whether an endpoint may be sent a request now: its breakers, its cold start
 // limit and its backpressure allow it.
 func (s *Scheduler) accepts(now time.Time, e *endpoint) bool {
-	return s.breakersAllow(now, e) && s.coldLimitAllows(now, e) && s.backpressure.Takes(now, e.spec)
+	return s.breakersAllow(now, e) && s.coldLimitAllows(now, e) && s.backpressure.Accepts(now, e.spec)
 }
 
 // mayProbe reports whether an endpoint may be used to probe its unreachable data centre: its own
@@ -65,7 +65,7 @@
 func (s *Scheduler) recordDispatch(now time.Time, e *endpoint) {
 	e.breaker.RecordSent(now)
 	e.recordColdSend(now)
-	s.backpressure.Sent(now, e.spec)
+	s.backpressure.RecordSent(now, e.spec)
 	if b := s.dataCenterBreaker(e); b != nil {
 		b.RecordSent(now)
 	}
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -45,7 +45,7 @@
 	meanRunTimes map[string]time.Duration
 	// isolated are the requests that each run at an endpoint of their own, to find out which
 	// of them crash engines.
-	isolated []quarantine.KeptApart
+	isolated []quarantine.IsolatedRequest
 	// entryRank is the position of this entry among all entries, from zero, and entryCount
 	// their number.
 	entryRank, entryCount int
@@ -130,7 +130,7 @@
 			e.removed = true
 		}
 	}
-	s.backpressure.Listed(now, func(l fleet.Life) bool { return s.endpointOf(l) != nil })
+	s.backpressure.UpdateListed(now, func(l fleet.Life) bool { return s.endpointOf(l) != nil })
 	clear(s.targets)
 	s.recomputePeerLoads()
 }
--- a/pkg/scheduler/status.go
+++ b/pkg/scheduler/status.go
@@ -41,7 +41,7 @@
 		st := EndpointStatus{
 			ID:                 e.spec.ID,
 			Leaving:            e.leaving,
-			Throttled:          !s.backpressure.Takes(now, e.spec),
+			Throttled:          !s.backpressure.Accepts(now, e.spec),
 			Breaker:            e.breaker.State(now),
 			Running:            e.ownRunning,
 			PeersRunning:       e.peersRunning,
--- a/pkg/scheduler/throttling.go
+++ b/pkg/scheduler/throttling.go
@@ -18,10 +18,10 @@
 // such as a generation that is moved there. If so, it counts the request against the limit.
 func (s *Scheduler) Admit(now time.Time, l fleet.Life) bool {
 	e := s.endpointOf(l)
-	if e == nil || !s.backpressure.Takes(now, e.spec) {
+	if e == nil || !s.backpressure.Accepts(now, e.spec) {
 		return false
 	}
-	s.backpressure.Sent(now, e.spec)
+	s.backpressure.RecordSent(now, e.spec)
 	return true
 }
 
@@ -39,23 +39,23 @@
 	room := s.roomFor(now, it)
 	remaining := max(it.latestStart.Sub(now)-time.Duration(ahead+1)*maxDispatchDelay, 0)
 	// Without an available endpoint, throttling isn't the reason why the request waits.
-	if room.None() || room.Within(remaining, ahead) {
+	if room.Empty() || room.AvailableWithin(remaining, ahead) {
 		return nil
 	}
 	s.saturatedAt = now
-	return s.refusal(outcome.CodeEndpointsThrottling, room.Wait(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
+	return s.refusal(outcome.CodeEndpointsThrottling, room.WaitTime(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
 }
 
 // roomFor sums how many requests of this entry the endpoints that may serve a request accept.
 // Endpoints that are presumed unavailable are excluded.
-func (s *Scheduler) roomFor(now time.Time, it *item) backpressure.Room {
-	var room backpressure.Room
+func (s *Scheduler) roomFor(now time.Time, it *item) backpressure.Capacity {
+	var room backpressure.Capacity
 	for e := range s.notLeaving(it.req.Row.Target) {
-		if room.Open {
+		if room.Unlimited {
 			break
 		}
 		if it.req.allowsEndpoint(e) && !s.presumedUnavailable(now, e) {
-			s.backpressure.Add(now, &room, e.spec)
+			s.backpressure.AddCapacity(now, &room, e.spec)
 		}
 	}
 	return room
--- a/pkg/scheduler/ttft.go
+++ b/pkg/scheduler/ttft.go
@@ -83,7 +83,7 @@
 	q.minBacklogAt = now
 	q.minBacklog = math.Inf(1)
 	for e := range s.notLeaving(target) {
-		if s.breakersAllow(now, e) && s.backpressure.Takes(now, e.spec) && !s.remoteLoadUnknown(now, e) {
+		if s.breakersAllow(now, e) && s.backpressure.Accepts(now, e.spec) && !s.remoteLoadUnknown(now, e) {
 			q.minBacklog = min(q.minBacklog, s.prefillBacklog(now, e))
 		}
 	}
