--- a/pkg/backpressure/pause.go
+++ b/pkg/backpressure/pause.go
@@ -9,7 +9,7 @@
 // Pause records that an endpoint accepts no requests from this entry for some time, and reports
 // whether a pause started, as opposed to one in effect being repeated. A shorter pause doesn't
 // shorten a longer one.
-func (s *Set) Pause(now time.Time, instance fleet.Life, duration time.Duration) (started bool) {
+func (s *Set) Pause(now time.Time, instance fleet.Instance, duration time.Duration) (started bool) {
 	previous := s.pauses[instance]
 	until := now.Add(duration)
 	if until.After(previous) {
@@ -19,7 +19,7 @@
 }
 
 // PauseRemaining returns for how much longer an endpoint accepts no requests from this entry.
-func (s *Set) PauseRemaining(now time.Time, instance fleet.Life) time.Duration {
+func (s *Set) PauseRemaining(now time.Time, instance fleet.Instance) time.Duration {
 	if len(s.pauses) == 0 {
 		return 0
 	}
--- a/pkg/backpressure/reports.go
+++ b/pkg/backpressure/reports.go
@@ -11,7 +11,7 @@
 
 // LimitReport is the limit that one response of an endpoint instance states.
 type LimitReport struct {
-	Instance fleet.Life
+	Instance fleet.Instance
 	// Limit is never Unreadable.
 	Limit Limit
 	// ReportedAt is the time of the statement. For a response without a limit it is the time when
@@ -23,7 +23,7 @@
 // NewLimitReport returns the report of a response, if the response states one. Any response may
 // name a limit. Only a response that serves its request states that there is none: errors, refusals
 // and state reports may be written by components of an endpoint that don't implement its throttling.
-func NewLimitReport(instance fleet.Life, limit Limit, served bool, sent, received time.Time) (r LimitReport, ok bool) {
+func NewLimitReport(instance fleet.Instance, limit Limit, served bool, sent, received time.Time) (r LimitReport, ok bool) {
 	switch {
 	case limit.Kind == Limited:
 		return LimitReport{Instance: instance, Limit: limit, ReportedAt: received}, true
@@ -50,7 +50,7 @@
 
 // Change is a limit that was set, changed or removed.
 type Change struct {
-	Instance fleet.Life
+	Instance fleet.Instance
 	// Previous and Current are the limits before and after the change.
 	Previous, Current Limit
 	// Duration is how long the previous limit applied.
@@ -133,7 +133,7 @@
 )
 
 // UpdateListed records which instances the list contains.
-func (s *Set) UpdateListed(now time.Time, listed func(fleet.Life) bool) {
+func (s *Set) UpdateListed(now time.Time, listed func(fleet.Instance) bool) {
 	for instance, st := range s.states {
 		switch {
 		case listed(instance):
@@ -147,7 +147,7 @@
 // Expire drops pauses that have ended, removals of limits after unlimitedRetention, and instances
 // unlisted for unlistedRetention.
 func (s *Set) Expire(now time.Time) {
-	maps.DeleteFunc(s.pauses, func(_ fleet.Life, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(s.pauses, func(_ fleet.Instance, until time.Time) bool { return !now.Before(until) })
 	for instance, st := range s.states {
 		delisted := !st.unlistedSince.IsZero() && now.Sub(st.unlistedSince) >= unlistedRetention
 		expired := st.limit.Kind == Unlimited && now.Sub(st.announcedAt) >= unlimitedRetention
--- a/pkg/backpressure/reports_test.go
+++ b/pkg/backpressure/reports_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start    = time.Unix(1000, 0)
-	instance = fleet.Life{Endpoint: "a", Incarnation: 7}
+	instance = fleet.Instance{Endpoint: "a", Incarnation: 7}
 )
 
 func limited(n float64) backpressure.Limit {
@@ -64,7 +64,7 @@
 	g := NewWithT(t)
 	s := backpressure.New()
 	s.Apply(start, backpressure.LimitReport{Instance: instance, Limit: limited(4), ReportedAt: start}, backpressure.FromResponse)
-	none := func(fleet.Life) bool { return false }
+	none := func(fleet.Instance) bool { return false }
 	for _, after := range []time.Duration{0, time.Minute, 119 * time.Second} {
 		s.UpdateListed(start.Add(after), none)
 		s.Expire(start.Add(after))
--- a/pkg/backpressure/set.go
+++ b/pkg/backpressure/set.go
@@ -10,15 +10,15 @@
 // Set holds the limits and pauses of throttling endpoints as observed by one entry.
 type Set struct {
 	position Position
-	states   map[fleet.Life]*state
+	states   map[fleet.Instance]*state
 	// pauses maps instances to the end of their pause for this entry.
-	pauses  map[fleet.Life]time.Time
+	pauses  map[fleet.Instance]time.Time
 	version uint64
 }
 
 // New returns an empty set of an entry without known peers.
 func New() *Set {
-	return &Set{states: map[fleet.Life]*state{}, pauses: map[fleet.Life]time.Time{}}
+	return &Set{states: map[fleet.Instance]*state{}, pauses: map[fleet.Instance]time.Time{}}
 }
 
 // SetPosition sets the position of this entry among all entries.
@@ -28,7 +28,7 @@
 func (s *Set) Idle() bool { return len(s.states) == 0 && len(s.pauses) == 0 }
 
 // limitedState returns the state of an instance with a limit, or nil.
-func (s *Set) limitedState(instance fleet.Life) *state {
+func (s *Set) limitedState(instance fleet.Instance) *state {
 	if len(s.states) == 0 {
 		return nil
 	}
@@ -41,10 +41,10 @@
 
 // Accepts reports whether an endpoint accepts a request from this entry now.
 func (s *Set) Accepts(now time.Time, e fleet.Endpoint) bool {
-	if s.PauseRemaining(now, e.Life()) > 0 {
+	if s.PauseRemaining(now, e.Instance()) > 0 {
 		return false
 	}
-	st := s.limitedState(e.Life())
+	st := s.limitedState(e.Instance())
 	if st == nil {
 		return true
 	}
@@ -54,7 +54,7 @@
 
 // RecordSent counts a request sent to an endpoint, whether or not the endpoint accepts it.
 func (s *Set) RecordSent(now time.Time, e fleet.Endpoint) {
-	st := s.limitedState(e.Life())
+	st := s.limitedState(e.Instance())
 	if st == nil {
 		return
 	}
@@ -78,8 +78,8 @@
 
 // AddCapacity adds to c what one more endpoint accepts.
 func (s *Set) AddCapacity(now time.Time, c *Capacity, e fleet.Endpoint) {
-	pause := s.PauseRemaining(now, e.Life())
-	st := s.limitedState(e.Life())
+	pause := s.PauseRemaining(now, e.Instance())
+	st := s.limitedState(e.Instance())
 	switch {
 	case pause > 0:
 		c.resumeAfter(pause)
--- a/pkg/quarantine/isolation_test.go
+++ b/pkg/quarantine/isolation_test.go
@@ -143,12 +143,12 @@
 func TestCountTerminations(t *testing.T) {
 	g := NewWithT(t)
 	s := quarantine.New()
-	listed := fleet.Life{Endpoint: "e", Incarnation: 7}
+	listed := fleet.Instance{Endpoint: "e", Incarnation: 7}
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	g.Expect(s.CountTerminations(listed, at(9))).To(BeZero())
 	s.Add(at(9), termination("a", quarantine.TerminationID(listed, 0), at(1)), termination("b", quarantine.TerminationID(listed, 1), at(3)))
 	g.Expect(s.CountTerminations(listed, at(0))).To(BeZero(), "before the first termination")
 	g.Expect(s.CountTerminations(listed, at(2))).To(Equal(1))
 	g.Expect(s.CountTerminations(listed, at(4))).To(Equal(2))
-	g.Expect(s.CountTerminations(fleet.Life{Endpoint: "e", Incarnation: 8}, at(9))).To(BeZero())
+	g.Expect(s.CountTerminations(fleet.Instance{Endpoint: "e", Incarnation: 8}, at(9))).To(BeZero())
 }
--- a/pkg/scheduler/cold.go
+++ b/pkg/scheduler/cold.go
@@ -28,11 +28,11 @@
 // the previous spec, which is zero for a new endpoint: another instance, another warm-up
 // time, or a reopened data centre.
 func (e *endpoint) updateWarmUp(now time.Time, previous fleet.Endpoint) {
-	if previous.WarmUp != e.spec.WarmUp || previous.Life() != e.spec.Life() {
-		e.markCold(now, e.spec.WarmUp)
+	if previous.WarmUpRemaining != e.spec.WarmUpRemaining || previous.Instance() != e.spec.Instance() {
+		e.markCold(now, e.spec.WarmUpRemaining)
 	}
 	if previous.Closed && !e.spec.Closed {
-		e.markCold(now, e.spec.Cold.For)
+		e.markCold(now, e.spec.ColdLimit.Duration)
 	}
 }
 
@@ -47,7 +47,7 @@
 // coldLimitAllows reports whether an endpoint is warm or this entry's share of its cold
 // limit allows another request now.
 func (s *Scheduler) coldLimitAllows(now time.Time, e *endpoint) bool {
-	if e.spec.Cold.PerSecond <= 0 || !now.Before(e.coldUntil) {
+	if e.spec.ColdLimit.RequestsPerSecond <= 0 || !now.Before(e.coldUntil) {
 		return true
 	}
 	e.coldSendTimes = slices.DeleteFunc(e.coldSendTimes, func(sentAt time.Time) bool { return now.Sub(sentAt) >= coldWindow })
@@ -58,8 +58,8 @@
 // endpoint.
 func (s *Scheduler) coldRateShare(e *endpoint) int {
 	entries := max(s.entryCount, 1)
-	perEntry := int(e.spec.Cold.PerSecond) / entries
-	remainder := int(e.spec.Cold.PerSecond) % entries
+	perEntry := int(e.spec.ColdLimit.RequestsPerSecond) / entries
+	remainder := int(e.spec.ColdLimit.RequestsPerSecond) % entries
 	if s.rotatedRank(e, entries) < remainder {
 		return perEntry + 1
 	}
@@ -77,11 +77,11 @@
 
 // recordColdSend counts a request sent to the endpoint while it is cold.
 func (e *endpoint) recordColdSend(now time.Time) {
-	if e.spec.Cold.PerSecond > 0 && now.Before(e.coldUntil) {
+	if e.spec.ColdLimit.RequestsPerSecond > 0 && now.Before(e.coldUntil) {
 		e.coldSendTimes = append(e.coldSendTimes, now)
 	}
 }
 
 // markRecovered marks an endpoint as cold that answers after it could not be reached: it may
 // have restarted, which its record shows only later.
-func (e *endpoint) markRecovered(now time.Time) { e.markCold(now, e.spec.Cold.For) }
+func (e *endpoint) markRecovered(now time.Time) { e.markCold(now, e.spec.ColdLimit.Duration) }
--- a/pkg/scheduler/cold_test.go
+++ b/pkg/scheduler/cold_test.go
@@ -20,8 +20,8 @@
 // coldEngine returns an engine that declares itself cold for coldFor.
 func coldEngine(id string) fleet.Endpoint {
 	e := engine(id, "dc0")
-	e.Cold = fleet.ColdLimit{For: coldFor, PerSecond: coldPerSecond}
-	e.WarmUp = coldFor
+	e.ColdLimit = fleet.ColdLimit{Duration: coldFor, RequestsPerSecond: coldPerSecond}
+	e.WarmUpRemaining = coldFor
 	return e
 }
 
@@ -79,7 +79,7 @@
 func TestEventsThatMarkEndpointsCold(t *testing.T) {
 	start := time.Unix(1000, 0)
 	warm := coldEngine("a")
-	warm.WarmUp = 0
+	warm.WarmUpRemaining = 0
 	cases := map[string]func(s *scheduler.Scheduler, now time.Time){
 		"restarted": func(s *scheduler.Scheduler, now time.Time) {
 			restarted := coldEngine("a")
--- a/pkg/scheduler/instance_test.go
+++ b/pkg/scheduler/instance_test.go
@@ -116,8 +116,8 @@
 	g.Expect(s.Submit(now, longRequest(1, now))).To(BeNil())
 	g.Expect(s.Next(now).Dispatches).To(HaveLen(1))
 	s.SetEndpoints(now, []fleet.Endpoint{engineInstance("a", firstIncarnation), engineInstance("b", secondIncarnation)})
-	s.Move(1, engineInstance("b", firstIncarnation).Life())
+	s.Move(1, engineInstance("b", firstIncarnation).Instance())
 	g.Expect(s.Status(now)[1].Running).To(BeZero())
-	s.Move(1, engineInstance("b", secondIncarnation).Life())
+	s.Move(1, engineInstance("b", secondIncarnation).Instance())
 	g.Expect(s.Status(now)[1].Running).To(Equal(1))
 }
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -75,7 +75,7 @@
 		return
 	}
 	s.Backpressure().Apply(f.start, backpressure.LimitReport{
-		Instance: e.Life(), ReportedAt: f.start, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
+		Instance: e.Instance(), ReportedAt: f.start, Limit: backpressure.Limit{Kind: backpressure.Limited, PerSecond: perSecond},
 	}, backpressure.FromResponse)
 }
 
--- a/pkg/scheduler/pause_test.go
+++ b/pkg/scheduler/pause_test.go
@@ -34,7 +34,7 @@
 		}
 		return id, nil
 	}
-	s.Backpressure().Pause(start, paused.Life(), 3*time.Second)
+	s.Backpressure().Pause(start, paused.Instance(), 3*time.Second)
 	for ms := range 2999 {
 		id, err := send(start.Add(time.Duration(ms) * time.Millisecond))
 		g.Expect(err).To(BeNil())
@@ -48,9 +48,9 @@
 	g.Expect(used).To(HaveKey("paused"), "it is used again after the pause")
 
 	later := start.Add(time.Minute)
-	s.Backpressure().Pause(later, paused.Life(), 5*time.Second)
-	s.Backpressure().Pause(later, other.Life(), 9*time.Second)
-	s.Backpressure().Pause(later, paused.Life(), time.Second)
+	s.Backpressure().Pause(later, paused.Instance(), 5*time.Second)
+	s.Backpressure().Pause(later, other.Instance(), 9*time.Second)
+	s.Backpressure().Pause(later, paused.Instance(), time.Second)
 	_, err := send(later.Add(time.Second))
 	g.Expect(err).NotTo(BeNil(), "a shorter pause doesn't shorten a longer one")
 	g.Expect(err.Outcome).To(Equal(outcome.NotRun))
--- a/pkg/scheduler/policy.go
+++ b/pkg/scheduler/policy.go
@@ -129,8 +129,8 @@
 }
 
 // Instance returns the endpoint instance that made the report.
-func (r Report) Instance() fleet.Life {
-	return fleet.Life{Endpoint: r.Endpoint, Incarnation: r.Incarnation}
+func (r Report) Instance() fleet.Instance {
+	return fleet.Instance{Endpoint: r.Endpoint, Incarnation: r.Incarnation}
 }
 
 // InFlightLoad is the load that the in-flight requests of one entry put on one endpoint.
@@ -160,7 +160,7 @@
 	// Progress records how many tokens a running request has generated in total.
 	Progress(now time.Time, id ID, generated int)
 	// Move records that a running request continues at another endpoint instance.
-	Move(id ID, to fleet.Life)
+	Move(id ID, to fleet.Instance)
 	// Finish records the end of a running request.
 	Finish(now time.Time, id ID, res Result)
 	// Report applies a load report. It ignores a report of an instance other than the
--- a/pkg/scheduler/remote_load.go
+++ b/pkg/scheduler/remote_load.go
@@ -43,7 +43,7 @@
 
 // Idle reports whether an engine has presumably no work: the last report shows none, and no prompt
 // of this entry or announced by a peer is running or pending there.
-func (s *Scheduler) Idle(now time.Time, l fleet.Life) bool {
+func (s *Scheduler) Idle(now time.Time, l fleet.Instance) bool {
 	e := s.endpointOf(l)
 	return e != nil && !e.report.ReportedAt.IsZero() && e.report.Running == 0 && e.report.Waiting == 0 &&
 		e.ownRunning == 0 && e.peersRunning == 0 && s.pendingPrefillTokens(now, e) == 0
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -130,14 +130,14 @@
 			e.removed = true
 		}
 	}
-	s.backpressure.UpdateListed(now, func(l fleet.Life) bool { return s.endpointOf(l) != nil })
+	s.backpressure.UpdateListed(now, func(l fleet.Instance) bool { return s.endpointOf(l) != nil })
 	clear(s.targets)
 	s.recomputePeerLoads()
 }
 
 // endpointOf returns the endpoint of an instance, or nil if the list has no such endpoint or
 // another incarnation of it.
-func (s *Scheduler) endpointOf(l fleet.Life) *endpoint {
+func (s *Scheduler) endpointOf(l fleet.Instance) *endpoint {
 	e := s.byID[l.Endpoint]
 	if e == nil || e.spec.Incarnation != l.Incarnation {
 		return nil
@@ -229,7 +229,7 @@
 }
 
 // Move implements Policy.
-func (s *Scheduler) Move(id ID, instance fleet.Life) {
+func (s *Scheduler) Move(id ID, instance fleet.Instance) {
 	it, dest := s.running[id], s.endpointOf(instance)
 	if it == nil || dest == nil || it.endpoint == dest {
 		return
--- a/pkg/scheduler/throttling.go
+++ b/pkg/scheduler/throttling.go
@@ -16,7 +16,7 @@
 
 // Admit reports whether an endpoint instance accepts a request that the scheduler doesn't dispatch,
 // such as a generation that is moved there. If so, it counts the request against the limit.
-func (s *Scheduler) Admit(now time.Time, l fleet.Life) bool {
+func (s *Scheduler) Admit(now time.Time, l fleet.Instance) bool {
 	e := s.endpointOf(l)
 	if e == nil || !s.backpressure.Accepts(now, e.spec) {
 		return false
