--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -163,7 +163,7 @@
 func fillCandidates(out *operatorapi.Explanation, x scheduler.Explanation) {
 	best := -1
 	for i, c := range x.Candidates {
-		reason := x.Reasons[i]
+		reason := x.Evaluations[i]
 		out.Candidates = append(out.Candidates, operatorapi.Candidate{
 			ID: x.EndpointIDs[i], Local: c.Local, Leaving: c.Leaving, Broken: c.BreakerOpen,
 			Fill: c.Utilization, Fits: c.Fits, Slowness: c.Slowness, Kept: reason.Eligible, Score: reason.Score,
--- a/internal/gateway/tell.go
+++ b/internal/gateway/tell.go
@@ -65,5 +65,5 @@
 	if small {
 		local, remote = localOfFew, remoteOfFew
 	}
-	g.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetChoices(local, remote) })
+	g.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetSampleSizes(local, remote) })
 }
--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -298,7 +298,7 @@
 	self := b.view.Self()
 	b.guard.SetPlace(placeAmong(self.GetVm(), members, isAlive))
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
-		s.SetEntryRank(placeAmong(self.GetVm(), members, mayServe))
+		s.SetRank(placeAmong(self.GetVm(), members, mayServe))
 		s.Backpressure().SetPlace(backpressurePlace(self, members))
 	})
 	for vm := range b.counted {
--- a/internal/peering/lives_random_test.go
+++ b/internal/peering/lives_random_test.go
@@ -21,7 +21,7 @@
 // believed is what an entry believes of the engine, as far as it doesn't fade with time.
 func believed(b *Beliefs, s *scheduler.Scheduler, now time.Time) string {
 	st := s.Status(now)[0]
-	return fmt.Sprintf("leaving %v, others run %d, busy %v, told leaves %v", st.Leaving, st.PeersRunning, st.Backlog > 0, b.toldLeaves(now))
+	return fmt.Sprintf("leaving %v, others run %d, busy %v, told leaves %v", st.Leaving, st.PeersRunning, st.PrefillBacklog > 0, b.toldLeaves(now))
 }
 
 // record is that of another entry which knows one life only, as its n-th.
--- a/internal/peering/lives_test.go
+++ b/internal/peering/lives_test.go
@@ -64,7 +64,7 @@
 func expectEmpty(g *WithT, b *Beliefs, s *scheduler.Scheduler, now time.Time) {
 	st := s.Status(now)[0]
 	g.Expect(st.Leaving).To(BeFalse())
-	g.Expect(st.Backlog).To(BeZero())
+	g.Expect(st.PrefillBacklog).To(BeZero())
 	g.Expect(st.PeersRunning).To(BeZero())
 	g.Expect(b.Leaving(b.list.Endpoints[0])).To(BeFalse())
 	g.Expect(b.toldLeaves(now)).To(BeEmpty())
@@ -124,9 +124,9 @@
 		g.Expect(counts(name, "hall").Leaving).To(BeTrue(), name)
 	}
 	for _, name := range []string{"a report", "a peer's record", "a datagram of a prompt"} {
-		g.Expect(counts(name, "hall").Backlog).To(BeNumerically(">", 0), name)
+		g.Expect(counts(name, "hall").PrefillBacklog).To(BeNumerically(">", 0), name)
 	}
-	g.Expect(counts("loads of another data centre", "annex").Backlog).To(BeNumerically(">", 0))
+	g.Expect(counts("loads of another data centre", "annex").PrefillBacklog).To(BeNumerically(">", 0))
 }
 
 // TestALeaveOfALaterLifeIsKept: news of it may come before the list shows that life. The
--- a/internal/peering/loads_test.go
+++ b/internal/peering/loads_test.go
@@ -54,7 +54,7 @@
 	hears.Merge(now, []*peerv1.NodeRecord{reads.view.Self()})
 	st := s.Status(now)[0]
 	g.Expect(st.PeersRunning).To(Equal(7))
-	g.Expect(st.Backlog).To(BeNumerically(">", 4000), "three prompts wait; the report is a second old")
+	g.Expect(st.PrefillBacklog).To(BeNumerically(">", 4000), "three prompts wait; the report is a second old")
 
 	version := reads.view.Self().GetVersion()
 	reads.Beat(now.Add(PayloadEvery), nil)
@@ -72,7 +72,7 @@
 	} {
 		b.TakeLoads(l)
 	}
-	g.Expect(s.Status(time.Now())[0].Backlog).To(BeZero())
+	g.Expect(s.Status(time.Now())[0].PrefillBacklog).To(BeZero())
 }
 
 // TestLoadsFitADatagram: a data centre of the size that is designed for tells a part of
--- a/pkg/scheduler/baseline.go
+++ b/pkg/scheduler/baseline.go
@@ -83,6 +83,7 @@
 	return actions
 }
 
+// pick returns the endpoint for a request, or false if no endpoint may serve it.
 func (b *Baseline) pick(r *Request) (fleet.Endpoint, bool) {
 	var best fleet.Endpoint
 	found := false
@@ -128,8 +129,8 @@
 // Report implements Policy.
 func (b *Baseline) Report(time.Time, Report) {}
 
-// SetShares implements Policy.
+// SetPeerLoads implements Policy.
 func (b *Baseline) SetPeerLoads(time.Time, string, []InFlightLoad) {}
 
-// Shares implements Policy.
+// InFlightLoads implements Policy.
 func (b *Baseline) InFlightLoads() []InFlightLoad { return nil }
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -15,7 +15,7 @@
 	MaxInFlight: 1 << 20, MaxQueued: 1 << 20, MaxQueueTime: time.Minute, Timeout: 2 * time.Minute, Idempotent: true}
 
 // newLoadedScheduler returns a scheduler with endpointCount endpoints that all run requests
-// of a peer. The entry is one of three home entries of ten of them.
+// of a peer. Ten of them have three home entries, of which this entry is one.
 func newLoadedScheduler(endpointCount int) (*scheduler.Scheduler, time.Time) {
 	cfg := scheduler.Version(scheduler.CurrentVersion)
 	cfg.DataCenter = "hall"
@@ -23,22 +23,22 @@
 	s := scheduler.New(cfg)
 	now := time.Unix(1000, 0)
 	var endpoints []fleet.Endpoint
-	var shares []scheduler.InFlightLoad
+	var loads []scheduler.InFlightLoad
 	for i := range endpointCount {
 		id := fmt.Sprint("e", i)
 		endpoints = append(endpoints, fleet.Endpoint{ID: id, Type: fleet.Engine, DataCenter: "hall", Address: "127.0.0.1:1",
 			Targets: []string{"m"}, Incarnation: 1, State: fleet.Live, CapacityTokens: 100_000, MaxRunning: 256})
-		sh := scheduler.InFlightLoad{Endpoint: id, Running: 20}
-		for h := range sh.Projected {
-			sh.Projected[h] = 20_000
+		load := scheduler.InFlightLoad{Endpoint: id, Running: 20}
+		for h := range load.Projected {
+			load.Projected[h] = 20_000
 		}
-		shares = append(shares, sh)
+		loads = append(loads, load)
 	}
 	s.SetEndpoints(now, endpoints)
 	for i := range 10 {
 		s.SetHome(fmt.Sprint("e", i*endpointCount/10), 3)
 	}
-	s.SetPeerLoads(now, "peer", shares)
+	s.SetPeerLoads(now, "peer", loads)
 	return s, now
 }
 
@@ -66,7 +66,7 @@
 // BenchmarkEngineDecision measures the same for an entry that sends prompts only to engines
 // that start them in time. On a busy machine, a decision among 15, 120 and 1,200 endpoints
 // takes 5.6, 7.3 and 29 µs with the smallest backlog cached for 20 ms, and 4.7, 18 and 122 µs
-// if each decision searches for it.
+// if each decision computes it.
 func BenchmarkEngineDecision(b *testing.B) {
 	for _, n := range []int{15, 120, 1200} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/pkg/scheduler/burst_test.go
+++ b/pkg/scheduler/burst_test.go
@@ -28,19 +28,19 @@
 	totals := map[string]tally{}
 	for _, version := range []string{"v9", "v10"} {
 		for seed := range uint64(5) {
-			p := newSimulation(version, seed)
-			p.run(12*time.Second, burstRate)
-			g.Expect(p.anySaturated()).To(Equal(version == "v10"), "only v10 detects the burst")
-			p.run(13*time.Second, func(elapsed time.Duration) float64 { return burstRate(elapsed + 12*time.Second) })
-			p.run(10*time.Second, func(time.Duration) float64 { return 0 })
-			long := p.tally(false)
+			sim := newSimulation(version, seed)
+			sim.run(12*time.Second, burstRate)
+			g.Expect(sim.anySaturated()).To(Equal(version == "v10"), "only v10 detects the burst")
+			sim.run(13*time.Second, func(elapsed time.Duration) float64 { return burstRate(elapsed + 12*time.Second) })
+			sim.run(10*time.Second, func(time.Duration) float64 { return 0 })
+			long := sim.tally(false)
 			total := totals[version]
 			totals[version] = tally{total.sent + long.sent, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
-			short := p.tally(true)
+			short := sim.tally(true)
 			g.Expect(short.refused).To(BeZero(), "urgent prompts are prefilled first")
 			g.Expect(short.inTime).To(BeNumerically(">=", short.sent*95/100))
 			if version == "v10" {
-				p.expectImmediateRefusals(g)
+				sim.expectImmediateRefusals(g)
 			}
 		}
 	}
@@ -53,14 +53,14 @@
 func TestLightLoadIsNotRefused(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
-		p := newSimulation(scheduler.ForwardingVersion, seed)
-		p.run(20*time.Second, func(time.Duration) float64 { return 3 })
-		for _, s := range p.entries {
-			g.Expect(s.Saturated(p.now)).To(BeFalse())
+		sim := newSimulation(scheduler.ForwardingVersion, seed)
+		sim.run(20*time.Second, func(time.Duration) float64 { return 3 })
+		for _, s := range sim.entries {
+			g.Expect(s.Saturated(sim.now)).To(BeFalse())
 		}
-		p.run(10*time.Second, func(time.Duration) float64 { return 0 })
+		sim.run(10*time.Second, func(time.Duration) float64 { return 0 })
 		for _, urgent := range []bool{true, false} {
-			results := p.tally(urgent)
+			results := sim.tally(urgent)
 			g.Expect(results.refused).To(BeZero())
 			g.Expect(results.inTime).To(Equal(results.sent))
 		}
@@ -88,11 +88,11 @@
 func TestFastEnginesDoNotCountAsBusy(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(5) {
-		p := newSimulation(scheduler.ForwardingVersion, seed)
-		p.prefillRate = 2 * simPrefillRate
-		p.run(20*time.Second, func(time.Duration) float64 { return 10 })
-		p.run(10*time.Second, func(time.Duration) float64 { return 0 })
-		long := p.tally(false)
+		sim := newSimulation(scheduler.ForwardingVersion, seed)
+		sim.prefillRate = 2 * simPrefillRate
+		sim.run(20*time.Second, func(time.Duration) float64 { return 10 })
+		sim.run(10*time.Second, func(time.Duration) float64 { return 0 })
+		long := sim.tally(false)
 		g.Expect(long.refused).To(BeNumerically("<=", long.sent/20))
 		g.Expect(long.inTime).To(BeNumerically(">=", long.sent*95/100))
 	}
@@ -108,11 +108,11 @@
 	totals := map[string]tally{}
 	for _, version := range []string{"v12", "v13"} {
 		for seed := range uint64(5) {
-			p := newSimulation(version, seed)
-			p.prefillRate = 0.6 * simPrefillRate
-			p.run(20*time.Second, func(time.Duration) float64 { return 6.5 })
-			p.run(20*time.Second, func(time.Duration) float64 { return 0 })
-			long, total := p.tally(false), totals[version]
+			sim := newSimulation(version, seed)
+			sim.prefillRate = 0.6 * simPrefillRate
+			sim.run(20*time.Second, func(time.Duration) float64 { return 6.5 })
+			sim.run(20*time.Second, func(time.Duration) float64 { return 0 })
+			long, total := sim.tally(false), totals[version]
 			totals[version] = tally{total.sent + long.sent, total.inTime + long.inTime, total.late + long.late, total.refused + long.refused}
 		}
 	}
@@ -173,13 +173,13 @@
 	value, urgent := map[string]int{}, map[string]tally{}
 	for _, version := range []string{"v13", "v14"} {
 		for seed := range uint64(5) {
-			p := newSimulation(version, seed)
-			for _, e := range p.engines {
+			sim := newSimulation(version, seed)
+			for _, e := range sim.engines {
 				e.fifo = true
 			}
-			p.run(25*time.Second, burstRate)
-			p.run(10*time.Second, func(time.Duration) float64 { return 0 })
-			long, short := p.tally(false), p.tally(true)
+			sim.run(25*time.Second, burstRate)
+			sim.run(10*time.Second, func(time.Duration) float64 { return 0 })
+			long, short := sim.tally(false), sim.tally(true)
 			value[version] += 190*long.inTime + 25*short.inTime
 			total := urgent[version]
 			urgent[version] = tally{total.sent + short.sent, total.inTime + short.inTime, total.late + short.late, total.refused + short.refused}
--- a/pkg/scheduler/choose.go
+++ b/pkg/scheduler/choose.go
@@ -17,26 +17,26 @@
 func (s *Scheduler) collectCandidates(now time.Time, targetName string) {
 	t := s.target(targetName)
 	s.candidates = s.candidates[:0]
-	typicalGap := s.meanInterTokenLatency(now)
+	meanLatency := s.meanInterTokenLatency(now)
 	for _, e := range s.excludeIsolationEndpoints(now, targetName, t.homes) {
-		s.addCandidate(now, e, typicalGap)
+		s.addCandidate(now, e, meanLatency)
 	}
-	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.local), s.cfg.LocalSampleSize, typicalGap)
-	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.remoteServices), s.cfg.RemoteSampleSize, typicalGap)
+	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.local), s.cfg.LocalSampleSize, meanLatency)
+	s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, t.remoteServices), s.cfg.RemoteSampleSize, meanLatency)
 	if !s.cfg.PeerLoadFromReports {
-		s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, s.remoteCandidates(now, t)), s.cfg.RemoteSampleSize, typicalGap)
+		s.sampleCandidates(now, s.excludeIsolationEndpoints(now, targetName, s.remoteCandidates(now, t)), s.cfg.RemoteSampleSize, meanLatency)
 		return
 	}
 	s.reportedRemotes = slices.DeleteFunc(s.reportedRemotes, func(e *endpoint) bool { return e.removed || !e.hasFreshReport(now) })
 	for _, e := range s.reportedRemotes {
 		if slices.Contains(e.spec.Targets, targetName) {
-			s.addCandidate(now, e, typicalGap)
+			s.addCandidate(now, e, meanLatency)
 		}
 	}
 }
 
 // sampleCandidates adds up to maxCount of the endpoints, evenly spaced from a random start.
-func (s *Scheduler) sampleCandidates(now time.Time, endpoints []*endpoint, maxCount int, typicalGap float64) {
+func (s *Scheduler) sampleCandidates(now time.Time, endpoints []*endpoint, maxCount int, meanLatency float64) {
 	if len(endpoints) == 0 {
 		return
 	}
@@ -44,15 +44,15 @@
 	first := s.cfg.Rand.IntN(len(endpoints))
 	stride := len(endpoints) / count
 	for i := range count {
-		s.addCandidate(now, endpoints[(first+i*stride)%len(endpoints)], typicalGap)
+		s.addCandidate(now, endpoints[(first+i*stride)%len(endpoints)], meanLatency)
 	}
 }
 
 // addCandidate adds an endpoint with the fields that don't depend on a request.
-func (s *Scheduler) addCandidate(now time.Time, e *endpoint, typicalGap float64) {
+func (s *Scheduler) addCandidate(now time.Time, e *endpoint, meanLatency float64) {
 	slowness := 1.0
-	if e.tokenGap > 0 {
-		slowness = e.tokenGap / typicalGap
+	if e.interTokenLatency > 0 {
+		slowness = e.interTokenLatency / meanLatency
 	}
 	s.candidates = append(s.candidates, routing.Candidate{
 		Index:          e.index,
@@ -65,8 +65,8 @@
 	})
 }
 
-// fits reports whether a candidate has room for a request. A candidate in another data
-// centre needs more free capacity, because the view of its load is older. An idle local
+// fits reports whether a candidate has the capacity for a request. A candidate in another
+// data centre needs more free capacity, because the view of its load is older. An idle local
 // endpoint accepts any request; otherwise a request larger than the endpoint would never
 // be dispatched.
 func (s *Scheduler) fits(now time.Time, c *routing.Candidate, e *endpoint, it *item) bool {
--- a/pkg/scheduler/cold.go
+++ b/pkg/scheduler/cold.go
@@ -9,7 +9,7 @@
 )
 
 // This file limits the request rate of cold endpoints. Endpoints that crashed or whose data
-// centre was reopened come back together and cold, and have the lowest load of all. A cold
+// centre was reopened become available together, cold and with the lowest load of all. A cold
 // endpoint can serve a limited number of requests per second from all entries together, and
 // crashes well above it. Entries don't coordinate for each request, so each entry gets a
 // share of the limit: a whole number of requests per second. With more entries than requests
@@ -18,9 +18,9 @@
 // coldWindow is the interval to which the limit of a cold endpoint applies.
 const coldWindow = time.Second
 
-// SetEntryRank sets the rank of this entry among all entries, from zero, and their number.
-// They determine its share of the rate limits of cold endpoints.
-func (s *Scheduler) SetEntryRank(rank, entries int) {
+// SetRank sets the rank of this entry in the sorted list of entries, from zero, and the number
+// of entries. They determine its share of the rate limits of cold endpoints.
+func (s *Scheduler) SetRank(rank, entries int) {
 	s.entryRank, s.entryCount = rank, max(entries, 1)
 }
 
@@ -36,8 +36,8 @@
 	}
 }
 
-// markCold records that the endpoint is cold for a duration; it never shortens an earlier
-// one.
+// markCold records that the endpoint is cold for a duration from now, unless it is already
+// cold for longer.
 func (e *endpoint) markCold(now time.Time, duration time.Duration) {
 	if until := now.Add(duration); duration > 0 && until.After(e.coldUntil) {
 		e.coldUntil = until
@@ -83,5 +83,5 @@
 }
 
 // markRecovered marks an endpoint as cold that answers after it could not be reached: it may
-// have restarted, which its record shows only later.
+// have restarted, which the endpoint list shows only later.
 func (e *endpoint) markRecovered(now time.Time) { e.markCold(now, e.spec.Cold.For) }
--- a/pkg/scheduler/cold_test.go
+++ b/pkg/scheduler/cold_test.go
@@ -35,7 +35,7 @@
 		var schedulers []*scheduler.Scheduler
 		for rank := range entries {
 			s := newForwardingScheduler("dc0", uint64(rank))
-			s.SetEntryRank(rank, entries)
+			s.SetRank(rank, entries)
 			s.SetEndpoints(start, []fleet.Endpoint{coldEngine("a")})
 			schedulers = append(schedulers, s)
 		}
@@ -111,7 +111,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newForwardingScheduler("dc0", 1)
-			s.SetEntryRank(0, 1)
+			s.SetRank(0, 1)
 			s.SetEndpoints(start, []fleet.Endpoint{warm})
 			now := start.Add(time.Minute)
 			markCold(s, now)
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -14,7 +14,7 @@
 	// DataCenter is the entry's data centre, whose endpoints are preferred.
 	DataCenter string
 	// MarginStdDevs is the headroom kept above the mean projected memory, in standard
-	// deviations.
+	// deviations of the projection.
 	MarginStdDevs float64
 	// UrgentReserve is the fraction of each engine's memory reserved for urgent requests.
 	UrgentReserve float64
@@ -33,6 +33,8 @@
 	// of a waiting request that it displaces.
 	DisplaceRatio float64
 	// OrderByValuePerCost moves requests with a higher value per cost forward in the queue.
+	// The value of a request is the weight of its row, and its cost is its expected memory
+	// over time.
 	OrderByValuePerCost bool
 	// PriorHazard is the prior for output lengths while none have been observed; see
 	// package lengths.
@@ -44,7 +46,7 @@
 	// entry may use more than its own partition.
 	MaxBorrowUtilization float64
 	// PeerLoadFromReports derives the peers' load from the endpoints' load reports
-	// instead of from shares that the entries exchange.
+	// instead of from the in-flight loads that the peers publish.
 	PeerLoadFromReports bool
 	// DisableTimeoutRefusals runs requests even if they aren't expected to end before
 	// their timeout.
@@ -66,7 +68,7 @@
 	// EnforceStartObjective sends a request only to engines that are expected to begin
 	// its answer within the objective of its row, and refuses it if there are none.
 	EnforceStartObjective bool
-	// PeerLoadFromReportsAndNotices takes the load in a report that isn't the entry's
+	// PeerLoadFromReportsAndNotices counts the load in a report that isn't the entry's
 	// own as peer load until the next report, and adds the prompts that peers have
 	// announced since.
 	PeerLoadFromReportsAndNotices bool
@@ -112,8 +114,8 @@
 	DefaultPrefillRate = 7000
 	// reprojectTokens is the number of generated tokens between updates of a projection.
 	reprojectTokens = 16
-	// defaultTokenGap is the time between tokens assumed while none has been observed.
-	defaultTokenGap = 25 * time.Millisecond
+	// defaultInterTokenLatency is assumed while no inter-token latency has been observed.
+	defaultInterTokenLatency = 25 * time.Millisecond
 	// Bounds and jitter of the retry delay in a refusal.
 	minRetryAfter    = 200 * time.Millisecond
 	maxRetryAfter    = time.Minute
@@ -121,12 +123,12 @@
 	// maxSpilloverUtilization is the utilization up to which an endpoint of another
 	// data centre gets requests that fit at no local endpoint.
 	maxSpilloverUtilization = 0.6
-	// DefaultMaxBorrowUtilization is the value of version v4.
+	// DefaultMaxBorrowUtilization applies in version v4; later versions set a lower value.
 	DefaultMaxBorrowUtilization = 0.85
 	// maxPartitionUtilization is the projected utilization of an endpoint up to which
 	// an entry may use its own partition.
 	maxPartitionUtilization = 1.2
-	// DefaultDrainRateSmoothing and DefaultDisplaceRatio are the values of version v1.
+	// DefaultDrainRateSmoothing and DefaultDisplaceRatio apply in versions v1 and v2.
 	DefaultDrainRateSmoothing = 0.2
 	DefaultDisplaceRatio      = 1.25
 )
@@ -138,8 +140,8 @@
 	c.PriorHazard = cmp.Or(c.PriorHazard, lengths.PriorHazard)
 	c.DrainRateSmoothing = cmp.Or(c.DrainRateSmoothing, DefaultDrainRateSmoothing)
 	c.DisplaceRatio = cmp.Or(c.DisplaceRatio, DefaultDisplaceRatio)
-	c.LocalSampleSize = cmp.Or(c.LocalSampleSize, defaultLocalChoices)
-	c.RemoteSampleSize = cmp.Or(c.RemoteSampleSize, defaultRemoteChoices)
+	c.LocalSampleSize = cmp.Or(c.LocalSampleSize, defaultLocalSampleSize)
+	c.RemoteSampleSize = cmp.Or(c.RemoteSampleSize, defaultRemoteSampleSize)
 	if c.DisableSampling {
 		c.LocalSampleSize, c.RemoteSampleSize = unlimitedSampleSize, unlimitedSampleSize
 	}
--- a/pkg/scheduler/dispatch.go
+++ b/pkg/scheduler/dispatch.go
@@ -14,7 +14,7 @@
 	s.actions.Refusals = append(s.actions.Refusals[:0], s.displacedRefusals...)
 	s.displacedRefusals = s.displacedRefusals[:0]
 	for target, q := range s.queues {
-		if q.rate.closeWindow(now, len(q.items) > 0, s.cfg.DrainRateSmoothing, s.cfg.DrainRateWarmUp) && s.cfg.RecomputeCosts {
+		if q.drainRate.closeWindow(now, len(q.items) > 0, s.cfg.DrainRateSmoothing, s.cfg.DrainRateWarmUp) && s.cfg.RecomputeCosts {
 			s.recomputeCosts(q)
 		}
 		if len(q.items) > 0 {
@@ -122,23 +122,23 @@
 // meanInterTokenLatency returns the mean inter-token latency over the endpoints in seconds, at
 // most interTokenLatencyRefresh old.
 func (s *Scheduler) meanInterTokenLatency(now time.Time) float64 {
-	if s.interTokenLatency == 0 || now.Sub(s.interTokenLatencyAt) >= interTokenLatencyRefresh {
-		s.interTokenLatency = s.computeInterTokenLatency()
-		s.interTokenLatencyAt = now
+	if s.cachedInterTokenLatency == 0 || now.Sub(s.cachedInterTokenLatencyAt) >= interTokenLatencyRefresh {
+		s.cachedInterTokenLatency = s.computeInterTokenLatency()
+		s.cachedInterTokenLatencyAt = now
 	}
-	return s.interTokenLatency
+	return s.cachedInterTokenLatency
 }
 
 func (s *Scheduler) computeInterTokenLatency() float64 {
 	sum, n := 0.0, 0
 	for _, e := range s.endpoints {
-		if e.tokenGap > 0 {
-			sum += e.tokenGap
+		if e.interTokenLatency > 0 {
+			sum += e.interTokenLatency
 			n++
 		}
 	}
 	if n == 0 {
-		return defaultTokenGap.Seconds()
+		return defaultInterTokenLatency.Seconds()
 	}
 	return sum / float64(n)
 }
@@ -152,8 +152,8 @@
 	it.endpoint = e
 	it.sentAt = now
 	it.generated = 0
-	it.lastToken = time.Time{}
-	it.run = s.estimator.Start(lengthKey(&it.req))
+	it.lastTokenAt = time.Time{}
+	it.lengthTracker = s.estimator.Start(lengthKey(&it.req))
 	e.addProjection(it, 1)
 	e.ownRunning++
 	s.recordPromptSent(now, it, e)
--- a/pkg/scheduler/endpoint.go
+++ b/pkg/scheduler/endpoint.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// tokenGapSmoothing is the weight of a new gap in the moving average of the time
-	// between tokens.
-	tokenGapSmoothing = 0.05
-	// unattributedLoadTTL is how long reported load that no entry accounts for counts.
+	// interTokenLatencySmoothing is the weight of one sample in the moving average of an
+	// endpoint's inter-token latency.
+	interTokenLatencySmoothing = 0.05
+	// unattributedLoadTTL is how long reported load counts that no entry accounts for.
 	unattributedLoadTTL = 3 * time.Second
 )
 
@@ -62,8 +62,8 @@
 	// unattributedTokens is the memory in tokens that the last report showed and that the load of
 	// no known entry accounts for.
 	unattributedTokens float64
-	// tokenGap is the mean time between tokens in seconds; zero if unknown.
-	tokenGap float64
+	// interTokenLatency is the moving average in seconds; zero if unknown.
+	interTokenLatency float64
 }
 
 // addProjection adds the projection of a request to ownProjection with sign 1, and removes it
@@ -179,7 +179,7 @@
 }
 
 // observeReport records a report. Load above that of all known entries counts for a while
-// as unattributed: it comes from entries that have ended or that haven't sent their shares.
+// as unattributed: it comes from entries that have terminated or whose load hasn't arrived yet.
 func (e *endpoint) observeReport(r Report) {
 	if !r.ReportedAt.After(e.report.ReportedAt) {
 		return
@@ -253,12 +253,12 @@
 	return e.unattributedTokens * (1 - float64(age)/float64(unattributedLoadTTL))
 }
 
-// observeTokenGap adds a time between two tokens to the moving average.
-func (e *endpoint) observeTokenGap(gap time.Duration) {
-	seconds := gap.Seconds()
-	if e.tokenGap == 0 {
-		e.tokenGap = seconds
+// observeInterTokenLatency adds a sample to the moving average.
+func (e *endpoint) observeInterTokenLatency(latency time.Duration) {
+	seconds := latency.Seconds()
+	if e.interTokenLatency == 0 {
+		e.interTokenLatency = seconds
 		return
 	}
-	e.tokenGap += tokenGapSmoothing * (seconds - e.tokenGap)
+	e.interTokenLatency += interTokenLatencySmoothing * (seconds - e.interTokenLatency)
 }
--- a/pkg/scheduler/forwarding_test.go
+++ b/pkg/scheduler/forwarding_test.go
@@ -20,7 +20,7 @@
 		State: fleet.Live, CapacityTokens: 34000, MaxRunning: 24}
 }
 
-// newForwardingScheduler returns a scheduler with the configuration of the Forwarding version.
+// newForwardingScheduler returns a scheduler with the configuration of ForwardingVersion.
 func newForwardingScheduler(dataCenter string, seed uint64) *scheduler.Scheduler {
 	cfg := scheduler.Version(scheduler.ForwardingVersion)
 	cfg.DataCenter = dataCenter
@@ -82,8 +82,8 @@
 	g.Expect(sentTo["new"]).To(BeNumerically("<=", entries/2))
 }
 
-// TestOwnPendingPrefillIsAvoided checks that an engine that has yet to prefill prompts of this
-// entry gets the next prompt last.
+// TestOwnPendingPrefillIsAvoided checks that a prompt goes to the engine that has fewer prompts of
+// this entry yet to prefill.
 func TestOwnPendingPrefillIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -126,11 +126,11 @@
 		}
 		return sentTo
 	}
-	even := map[string]int{"a": 2, "b": 2}
+	evenSplit := map[string]int{"a": 2, "b": 2}
 	g.Expect(sends(0, false)["b"]).To(BeNumerically(">=", 3))
 	g.Expect(sends(3*time.Second, false)["b"]).To(BeNumerically(">=", 3), "no peer has reported the prefill")
-	g.Expect(sends(100*time.Millisecond, true)).To(Equal(even))
-	g.Expect(sends(9*time.Second, false)).To(Equal(even))
+	g.Expect(sends(100*time.Millisecond, true)).To(Equal(evenSplit))
+	g.Expect(sends(9*time.Second, false)).To(Equal(evenSplit))
 }
 
 // TestUnreachableEndpointIsAvoidedAtOnce checks that a single failed connection opens the
@@ -196,9 +196,9 @@
 	g.Expect(s.Reachability()).To(Equal(scheduler.Reachability{}))
 }
 
-// TestTargetWithoutEndpointsIsNotOutOfReach checks that a target without any endpoint doesn't
-// count as out of reach, since no other entry can serve it either.
-func TestTargetWithoutEndpointsIsNotOutOfReach(t *testing.T) {
+// TestTargetWithoutEndpointsIsNotUnreachable checks that a target without any endpoint doesn't
+// count as unreachable, since no other entry can serve it either.
+func TestTargetWithoutEndpointsIsNotUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	s := newForwardingScheduler("dc0", 1)
@@ -260,9 +260,9 @@
 	g.Expect(err.RetryAfter).To(BeNumerically("~", time.Second, 300*time.Millisecond), "the next probe is due in one second")
 }
 
-// TestQueueTimeLeavesTimeToRun checks that a request waits no longer than it can still be
+// TestQueueTimeIsLimitedByRunTime checks that a request waits no longer than it can still be
 // answered in time: with a timeout of 1 s and runs of 300 ms, it waits for 700 ms.
-func TestQueueTimeLeavesTimeToRun(t *testing.T) {
+func TestQueueTimeIsLimitedByRunTime(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	s := newForwardingScheduler("dc0", 1)
@@ -310,10 +310,10 @@
 	}
 }
 
-// TestSlowTokensCauseNoRefusals checks that long gaps between tokens, such as those of moves,
-// don't cause refusals of requests that can end in time. The estimate from such gaps refuses
-// a request with "about 1m14s are needed, 39s are left".
-func TestSlowTokensCauseNoRefusals(t *testing.T) {
+// TestHighInterTokenLatencyCausesNoRefusals checks that a high inter-token latency, such as
+// during moves, doesn't cause refusals of requests that can end in time. A run time estimated
+// from it would refuse a request with "about 1m14s are needed, 39s are left".
+func TestHighInterTokenLatencyCausesNoRefusals(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	s := newForwardingScheduler("dc0", 1)
@@ -344,7 +344,7 @@
 		maxSends := 0
 		for n := range 60 {
 			s := newForwardingScheduler("dc0", uint64(n))
-			s.SetChoices(sampleSize, 1)
+			s.SetSampleSizes(sampleSize, 1)
 			s.SetEndpoints(now, endpoints)
 			for i, e := range endpoints {
 				s.Report(now, scheduler.Report{Endpoint: e.ID, Incarnation: 1, ReportedAt: now, UsedTokens: 1500 * i, CapacityTokens: 34000})
--- a/pkg/scheduler/instance_test.go
+++ b/pkg/scheduler/instance_test.go
@@ -46,7 +46,7 @@
 func expectNoState(g *WithT, s *scheduler.Scheduler, now time.Time, description string) {
 	st := s.Status(now)[0]
 	g.Expect(st.Leaving).To(BeFalse(), description)
-	g.Expect(st.Backlog).To(BeZero(), description)
+	g.Expect(st.PrefillBacklog).To(BeZero(), description)
 	g.Expect(st.PeersRunning).To(BeZero(), description)
 	g.Expect(st.Running).To(BeZero(), description)
 	g.Expect(st.Projected[0]).To(BeZero(), description)
@@ -88,7 +88,7 @@
 	s.SetRemoteLoad(now, scheduler.Load{Report: fullReport(now, firstIncarnation), PendingPrefillTokens: 9000})
 	expectNoState(g, s, now, "after a stale load")
 	s.SetRemoteLoad(now, scheduler.Load{Report: fullReport(now, secondIncarnation), PendingPrefillTokens: 9000})
-	g.Expect(s.Status(now)[0].Backlog).To(BeNumerically(">=", 9000))
+	g.Expect(s.Status(now)[0].PrefillBacklog).To(BeNumerically(">=", 9000))
 }
 
 // TestLeavingEndsWithInstance checks that leaving ends with the instance, also if the engine
--- a/pkg/scheduler/isolation.go
+++ b/pkg/scheduler/isolation.go
@@ -13,8 +13,8 @@
 // every engine that crashes. While suspects run beside each other, a crash can't be
 // attributed to one of them, so each suspect gets an endpoint of its own until it completes
 // there or crashes it. All other requests avoid that endpoint as long as another one can
-// take them: a request that hasn't crashed an engine yet might crash the suspect's endpoint
-// and incriminate a harmless suspect.
+// take them: a request that hasn't crashed an engine yet might crash the suspect's endpoint,
+// and the crash would be attributed to a harmless suspect.
 
 // SetIsolatedRequests replaces the set of requests to isolate.
 func (s *Scheduler) SetIsolatedRequests(requests []quarantine.KeptApart) {
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -19,8 +19,8 @@
 // entries together. If the entries only pass the header on to callers, the endpoints still get
 // 44 and 37 requests in four seconds, and three entries that got a limit with their first
 // answer send 166 requests in the next three seconds instead of 24, while a third endpoint has
-// room. On average each entry sends more than the whole limit, so entries that each use the
-// whole limit instead of a share don't explain these numbers.
+// free capacity. On average each entry sends more than the whole limit, so entries that each use
+// the whole limit instead of a share don't explain these numbers.
 
 // An endpoint accepts limitFactor times its limit in any limitWindow, plus limitSlack requests.
 const (
@@ -130,8 +130,8 @@
 					f.run(12*time.Second, perSecond, endpointType, func(id string) bool { return id == "limited" })
 					allowed := limitFactor*limit*limitWindow.Seconds() + limitSlack
 					g.Expect(f.maxInWindow()).To(BeNumerically("<=", allowed), "in %v", limitWindow)
-					g.Expect(f.refused).To(BeEmpty(), "others have room")
-					g.Expect(f.refusedAfterWaiting).To(BeZero(), "others have room")
+					g.Expect(f.refused).To(BeEmpty(), "the other endpoints have free capacity")
+					g.Expect(f.refusedAfterWaiting).To(BeZero(), "the other endpoints have free capacity")
 				})
 			}
 		}
--- a/pkg/scheduler/mechanisms.go
+++ b/pkg/scheduler/mechanisms.go
@@ -82,9 +82,9 @@
 	return c
 }
 
-// isSpeedScorer reports whether s is the scorer that prefers endpoints with a shorter time
-// between tokens.
-func isSpeedScorer(s routing.Scorer) bool { _, ok := s.(routing.TokenLatency); return ok }
+// isTokenLatencyScorer reports whether s is the scorer that prefers endpoints with a lower
+// inter-token latency.
+func isTokenLatencyScorer(s routing.Scorer) bool { _, ok := s.(routing.TokenLatency); return ok }
 
 // removeScorers removes the matching scorers from a copy of the pipeline's scorers, which
 // other configurations may share.
--- a/pkg/scheduler/peerload.go
+++ b/pkg/scheduler/peer_load.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// This file estimates the peers' load at an engine. Several entries fill the same engines,
-// and a burst fills them within a second. An entry has its own load exactly; the peers' load
-// it derives from the engine's last report and the prompts that peers have announced since.
-// Load in a report counts in full until the next report, since most requests run for many
-// seconds.
+// Overload handled here: several entries send to the same engines, and a burst uses up their
+// memory within a second. An entry's own load is exact; the peers' load is estimated from the
+// engine's last report and the prompts that peers have announced since. Load in a report counts
+// in full until the next report, since most requests run for many seconds.
 
-// reportLag is the age of a report on arrival. An engine makes the report some hundred
-// milliseconds before it answers; about half a second in total.
+// reportLag is the assumed age of a report on arrival: about half a second, which includes some
+// hundred milliseconds between making the report and answering with it.
 const reportLag = 500 * time.Millisecond
 
 // peerPrompt is a prompt that a peer has announced as sent to an engine.
--- a/pkg/scheduler/pending_prompts.go
+++ b/pkg/scheduler/pending_prompts.go
@@ -56,13 +56,13 @@
 	}
 }
 
-// total returns the number of tokens that have not expired.
+// total returns the number of tokens of the prompts that have not expired.
 func (pp *pendingPrompts) total(now time.Time) float64 {
 	pp.expire(now)
 	return pp.tokens
 }
 
-// replace sets the total to a count that a peer has made.
+// replace replaces the prompts by a total that a peer has counted.
 func (pp *pendingPrompts) replace(now time.Time, tokens float64) {
 	pp.prompts = append(pp.prompts[:0], peerPrompt{now, tokens})
 	pp.tokens = tokens
--- a/pkg/scheduler/policy.go
+++ b/pkg/scheduler/policy.go
@@ -3,28 +3,29 @@
 //
 // # Design
 //
-// Entries schedule independently. Each knows its own in-flight requests exactly; it
-// knows the load of its peers from what they last published, and the load of the
-// endpoints from reports that arrive with a lag. From these it keeps, per endpoint, a
-// projection of the memory in use now and over the next steps (package lengths). A
-// request is dispatched to an endpoint when its own projection fits on top, with a
-// margin of Config.Margin standard deviations.
+// Entries schedule independently. An entry's view of its own in-flight requests is
+// exact, its view of the peers' load is what they last published, and its view of the
+// endpoints' load comes from reports that arrive with a lag. From these it keeps, per
+// endpoint, a projection of the memory in use now and over the next steps (package
+// lengths). A request is dispatched to an endpoint when its own projection fits in
+// addition, with a margin of Config.MarginStdDevs standard deviations.
 //
 // Waiting requests are ordered by the latest time at which they may start, urgent ones
 // first. The first request of a target that doesn't fit blocks all non-urgent requests
-// behind it, so that small requests can't starve large ones. A part of each endpoint's
-// memory is reserved for urgent requests, so that large requests can't starve them. A
-// request whose expected wait, by the observed drain rate, exceeds what its row of the
-// table allows is refused at once, unless it displaces waiting requests of a lower weight
-// per cost.
+// behind it, so that small requests can't starve large ones. A fraction of each
+// endpoint's memory is reserved for urgent requests, so that large requests can't starve
+// them. A request whose expected wait, by the observed drain rate, exceeds what its row of
+// the table allows is refused at once, unless it displaces waiting requests of a lower
+// value per cost.
 //
 // Files that handle one overload or failure condition say in a comment at the top which
 // one, and the reason for each threshold stands beside it: ttft.go and prefill_rate.go
 // (prompts arrive faster than engines process them), run_time.go (requests wait for a
 // slot or memory), pending_prompts.go (engines are slower than estimated), reachability.go
-// (a data centre is cut off), remote_load.go (only other data centres have room) and
-// throttling.go (endpoints limit their request rate). Others do so for several entries that
-// fill the same engines, for cold endpoints and for requests that crash engines.
+// (a data centre is cut off), remote_load.go (only other data centres have free capacity),
+// throttling.go (endpoints limit their request rate), peer_load.go (several entries send to
+// the same engines), cold.go (endpoints restart with a lower capacity) and isolation.go
+// (requests crash engines).
 //
 // # States
 //
--- a/pkg/scheduler/prefill_rate.go
+++ b/pkg/scheduler/prefill_rate.go
@@ -17,7 +17,8 @@
 	// prefillRateSmoothing is the weight of one sample in the learned prefill rate.
 	prefillRateSmoothing = 0.1
 	// effectiveRateSmoothing is the weight of one sample in the effective prefill rate. An entry
-	// of a large fleet gets a sample every 3 s, and a burst lasts 10 s.
+	// of a large fleet gets a sample every 3 s, and a burst lasts 10 s, so few samples must
+	// suffice.
 	effectiveRateSmoothing = 0.2
 	// minEffectiveRateShare is the lower bound of the effective rate as a share of the prefill
 	// rate: two or three answers that are delayed by a link or by a terminating engine must not
@@ -68,13 +69,14 @@
 		q.observePrefillRate((it.backlogAtSend+float64(it.req.PromptTokens))/ttft, s.prefillRate(it.req.Row.Target))
 	}
 	if s.cfg.FIFOPrefill || !it.req.Urgent() {
-		// An urgent prompt shows nothing of earlier ones, which it may have overtaken.
+		// An urgent prompt may have overtaken earlier ones, so its first token doesn't imply
+		// that those have been processed.
 		it.endpoint.recordPrefilledUpTo(now, it.sentTokensTotal, s.prefillRate(it.req.Row.Target))
 	}
 }
 
 // observesPrefillRate reports whether the first token of an answer is a sample of the effective
-// prefill rate. The backlog before a prompt is accurate in the own data centre only.
+// prefill rate. It isn't in other data centres, whose backlogs are inaccurate.
 func (s *Scheduler) observesPrefillRate(it *item) bool {
 	return s.cfg.LearnEffectivePrefillRate && (s.cfg.FIFOPrefill || !it.req.Urgent()) && it.endpoint.spec.DataCenter == s.cfg.DataCenter
 }
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -20,19 +20,19 @@
 	// orderBy is the sort key in the queue; it is never after latestStart.
 	orderBy time.Time
 
-	endpoint  *endpoint
-	run       lengths.Tracker
-	generated int
-	lastToken time.Time
+	endpoint      *endpoint
+	lengthTracker lengths.Tracker
+	generated     int
+	lastTokenAt   time.Time
 	// prefillPending is set until the endpoint has processed the prompt.
 	prefillPending bool
-	// sentAt is when it was sent, and sentTokensTotal the total of prompt tokens that its engine
-	// had been sent by then, its own included.
+	// sentAt is when it was sent, and sentTokensTotal the engine's promptTokensSent then, with its
+	// own prompt included.
 	sentAt          time.Time
 	sentTokensTotal float64
-	// sentToIdle is set if the engine's prefill backlog was negligible then; see nearlyIdle.
+	// sentToIdle is set if the engine's prefill backlog at sentAt was negligible; see nearlyIdle.
 	sentToIdle bool
-	// backlogAtSend is the engine's prefill backlog then, in tokens.
+	// backlogAtSend is the engine's prefill backlog at sentAt, in tokens.
 	backlogAtSend float64
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// density is the weight of the request per unit of cost.
-func (it *item) density() float64 { return float64(it.req.Row.Weight) / max(it.cost, 1) }
+// valuePerCost is the weight of the request's row per unit of cost.
+func (it *item) valuePerCost() float64 { return float64(it.req.Row.Weight) / max(it.cost, 1) }
 
 // goesBefore orders waiting requests: urgent ones first, then by orderBy.
 func (it *item) goesBefore(other *item) bool {
@@ -63,17 +63,17 @@
 type queue struct {
 	items []*item
 	// cost is the sum of the costs of items.
-	cost float64
-	rate drainRate
-	// meanLogDensity is the moving average of the logarithm of the density of submitted
-	// requests that are not urgent; NaN until there was one.
-	meanLogDensity float64
-	inflow         inflow
+	cost      float64
+	drainRate drainRate
+	// meanLogValuePerCost is the moving average of the logarithm of the value per cost of
+	// submitted requests that are not urgent; NaN before the first.
+	meanLogValuePerCost float64
+	inflow              inflow
 	// learnedPrefillRate is the prefill rate of idle engines in tokens per second; see
 	// prefill_rate.go.
 	learnedPrefillRate float64
-	// effectivePrefillRate is the prefill rate, in tokens per second, that the backlog before
-	// non-urgent prompts and these prompts themselves have seen; zero if unknown.
+	// effectivePrefillRate is the rate, in tokens per second, at which engines have processed
+	// non-urgent prompts and the backlog before them; zero if unknown.
 	effectivePrefillRate float64
 	// minBacklog is the smallest prefill backlog among the target's endpoints, as of
 	// minBacklogAt.
@@ -81,29 +81,30 @@
 	minBacklogAt time.Time
 }
 
-// setOrder sets the sort key of a request. Without byDensity it is latestStart. With byDensity it
-// is the arrival plus a fraction of the row's longest wait; the higher the density is compared
-// with the average, the smaller is the fraction, down to minWaitFraction. Since keys are bounded,
-// every request reaches the head of the queue, and none starves.
-func (q *queue) setOrder(it *item, byDensity bool) {
+// setOrder sets the sort key of a request. Without byValuePerCost, and for urgent requests, it is
+// latestStart. Otherwise it is the arrival plus a fraction of the row's longest wait; the higher
+// the value per cost is compared with the average, the smaller is the fraction, down to
+// minWaitFraction. Since keys are bounded, every request reaches the head of the queue, and none
+// starves.
+func (q *queue) setOrder(it *item, byValuePerCost bool) {
 	it.orderBy = it.latestStart
-	if !byDensity || it.req.Urgent() {
+	if !byValuePerCost || it.req.Urgent() {
 		return
 	}
-	d := math.Log(it.density())
-	if math.IsNaN(q.meanLogDensity) {
-		q.meanLogDensity = d
+	d := math.Log(it.valuePerCost())
+	if math.IsNaN(q.meanLogValuePerCost) {
+		q.meanLogValuePerCost = d
 	}
-	q.meanLogDensity += densitySmoothing * (d - q.meanLogDensity)
-	waitFraction := min(max(math.Exp(q.meanLogDensity-d)/2, minWaitFraction), 1)
+	q.meanLogValuePerCost += valuePerCostSmoothing * (d - q.meanLogValuePerCost)
+	waitFraction := min(max(math.Exp(q.meanLogValuePerCost-d)/2, minWaitFraction), 1)
 	// Rounding keeps similar requests in the order of their arrival.
 	waitFraction = math.Round(waitFraction/waitFractionStep) * waitFractionStep
 	it.orderBy = it.req.ArrivedAt.Add(time.Duration(waitFraction * float64(it.req.Row.MaxQueueTime)))
 }
 
 const (
-	// densitySmoothing is the weight of one request in meanLogDensity.
-	densitySmoothing = 0.02
+	// valuePerCostSmoothing is the weight of one request in meanLogValuePerCost.
+	valuePerCostSmoothing = 0.02
 	// minWaitFraction and waitFractionStep are fractions of a row's longest wait.
 	minWaitFraction  = 0.1
 	waitFractionStep = 0.1
@@ -158,8 +159,8 @@
 	return 1
 }
 
-// countDrained adds the cost of a request that was dispatched to the drain rate.
-func (q *queue) countDrained(cost float64) { q.rate.drained += cost }
+// countDrained adds the cost of a dispatched request to the drain rate.
+func (q *queue) countDrained(cost float64) { q.drainRate.drained += cost }
 
 // expectedWait returns the expected wait behind requests of a total cost, at most
 // maxExpectedWait, and false if it is unknown.
@@ -167,7 +168,7 @@
 	if cost == 0 {
 		return 0, true
 	}
-	rate, known := q.rate.perSecond()
+	rate, known := q.drainRate.perSecond()
 	if !known {
 		return 0, false
 	}
--- a/pkg/scheduler/reachability.go
+++ b/pkg/scheduler/reachability.go
@@ -9,12 +9,12 @@
 	"github.com/bridgehoist/bridgehoist/pkg/retry"
 )
 
-// Failure handled here: a network partition cuts off a data centre, and most of the endpoints
-// that its entries know are beyond the partition. If each endpoint's breaker had to find that
-// out alone, each of them, and each probe, would cost a request one connection timeout, which
-// is most of the latency objective of a plain service. So there is also a breaker per data
-// centre. A request that no endpoint can serve is refused before it waits, since its caller can
-// still be served through another data centre.
+// Failure handled here: a network partition cuts off a data centre, and most of the endpoints in
+// its entries' lists are beyond the partition. With breakers per endpoint only, the first request
+// to each endpoint, and each probe, would take one connection timeout, which is most of the latency
+// objective of a plain service. So there is also a breaker per data centre. A request that no
+// endpoint can serve is refused before it waits, since its caller can still be served through
+// another data centre.
 
 // dataCenterFailureThreshold is how many consecutive connection failures to endpoints of a data
 // centre open its breaker. The breaker of an unreachable endpoint opens at once, so these are
--- a/pkg/scheduler/regions_test.go
+++ b/pkg/scheduler/regions_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestRegionRestrictions checks that endpoints outside the permitted regions get no requests, even
-// if only they have room, and that the regions of the row and of the workspace both apply.
+// if only they have free capacity, and that the regions of the row and of the workspace both apply.
 // Requests without a permitted endpoint are refused at once.
 func TestRegionRestrictions(t *testing.T) {
 	g := NewWithT(t)
--- a/pkg/scheduler/remote_load.go
+++ b/pkg/scheduler/remote_load.go
@@ -6,13 +6,13 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// Condition handled here: the engines of the own data centre are full, and other data centres
-// have room. An entry of a large fleet is notified only of the prompts that go to engines of
+// Condition handled here: the engines of the own data centre are full, and other data centres have
+// free capacity. An entry of a large fleet is notified only of the prompts that go to engines of
 // its own data centre. If engines of unknown load counted as empty, those of other data centres
-// would attract too much: with 100 entries and 43 engines, of which two fifths were leaving,
-// they received 70% of the long prompts, and 47% of the answers that started there were late
-// (19% elsewhere). So entries publish the load of their data centre's engines to those of
-// other data centres, and send to a remote engine only while a recent report of it is known.
+// would attract too much: with 100 entries and 43 engines, of which two fifths were leaving, they
+// received 70% of the long prompts, and 47% of the answers that started there were late (19%
+// elsewhere). So entries publish the load of their data centre's engines to those of other data
+// centres, and send to a remote engine only while a recent report of it is known.
 
 // maxRemoteReportAge is the age at which the report of an engine of another data centre is stale.
 // Reports arrive twice a second on average, so that few engines are excluded while the data
@@ -43,8 +43,8 @@
 
 // Idle reports whether an engine has presumably no work: the last report shows none, and no prompt
 // of this entry or announced by a peer is running or pending there.
-func (s *Scheduler) Idle(now time.Time, l fleet.Life) bool {
-	e := s.endpointOf(l)
+func (s *Scheduler) Idle(now time.Time, instance fleet.Life) bool {
+	e := s.endpointOf(instance)
 	return e != nil && !e.report.ReportedAt.IsZero() && e.report.Running == 0 && e.report.Waiting == 0 &&
 		e.ownRunning == 0 && e.peersRunning == 0 && s.pendingPrefillTokens(now, e) == 0
 }
--- a/pkg/scheduler/remote_load_test.go
+++ b/pkg/scheduler/remote_load_test.go
@@ -53,9 +53,9 @@
 	g.Expect(submitAndCount(g, s, later, 1)).To(Equal(map[string]int{"a": 1}), "the report is stale")
 }
 
-// TestRemoteEngineIsUsedWithoutLocalOnes: if all local engines are leaving, requests go to remote
+// TestRemoteEngineIsUsedWithoutLocalEngines: if all local engines are leaving, requests go to remote
 // engines even if their load is unknown.
-func TestRemoteEngineIsUsedWithoutLocalOnes(t *testing.T) {
+func TestRemoteEngineIsUsedWithoutLocalEngines(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newForwardingScheduler("dc0", 1)
@@ -83,7 +83,7 @@
 	g.Expect(loads).To(HaveLen(1))
 	g.Expect(loads[0].PendingPrefillTokens).To(Equal(5000))
 	local.SetRemoteLoad(now, loads[0])
-	g.Expect(local.Status(now)[0].Backlog).To(BeNumerically("~", 5000, 1))
+	g.Expect(local.Status(now)[0].PrefillBacklog).To(BeNumerically("~", 5000, 1))
 	remote.PromptPrefilled(now, "far", 2000)
 	g.Expect(remote.LocalLoads(now)[0].PendingPrefillTokens).To(Equal(3000))
 }
--- a/pkg/scheduler/run_time.go
+++ b/pkg/scheduler/run_time.go
@@ -10,8 +10,8 @@
 // runTimeSmoothing is the weight of one request in the mean run time of its kind.
 const runTimeSmoothing = 0.1
 
-// maxRunTimeKinds is the maximum number of kinds with a mean run time. When it is exceeded, all
-// are discarded and learned again.
+// maxRunTimeKinds is the maximum number of kinds with a mean run time. When it would be exceeded,
+// all means are discarded and learned again.
 const maxRunTimeKinds = 4096
 
 // learnRunTime adds the time from the dispatch of a request to the end of its answer to the mean
@@ -32,8 +32,8 @@
 	s.meanRunTimes[it.req.Kind] = mean + time.Duration(runTimeSmoothing*float64(runTime-mean))
 }
 
-// latestStart returns the latest time at which a request may start: after its row's longest wait,
-// and early enough that it is expected to end before its timeout.
+// latestStart returns the latest time at which a request may start: at most its row's longest wait
+// after its arrival, and early enough that it is expected to end before its timeout.
 func (s *Scheduler) latestStart(r *Request) time.Time {
 	wait := r.Row.MaxQueueTime
 	if s.cfg.LimitWaitByRunTime && r.Row.Timeout > 0 {
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -28,8 +28,8 @@
 	peerLoads map[string][]InFlightLoad
 	// leaving holds the IDs of endpoints whose current instance is leaving.
 	leaving map[string]bool
-	// homeEntries is the number of home entries of the endpoints that this entry is one of
-	// them for, by endpoint ID.
+	// homeEntries is the number of home entries of each endpoint that has this entry as one of
+	// them, by endpoint ID.
 	homeEntries map[string]int
 	// targets caches the endpoints of each target.
 	targets map[string]*target
@@ -46,16 +46,17 @@
 	// isolated are the requests that each run at an endpoint of their own, to find out which
 	// of them crash engines.
 	isolated []quarantine.KeptApart
-	// entryRank is the position of this entry among all entries, from zero, and entryCount
-	// their number.
+	// entryRank is the rank of this entry in the sorted list of entries, from zero, and
+	// entryCount the number of entries.
 	entryRank, entryCount int
 	// backpressure holds the rate limits and pauses that endpoints have requested.
 	backpressure *backpressure.Set
 	// saturatedAt is when a request was last refused or had to wait because engines were full.
 	saturatedAt time.Time
-	// interTokenLatency is the mean over the endpoints in seconds, as of interTokenLatencyAt.
-	interTokenLatency   float64
-	interTokenLatencyAt time.Time
+	// cachedInterTokenLatency is the mean inter-token latency over the endpoints in seconds, as of
+	// cachedInterTokenLatencyAt.
+	cachedInterTokenLatency   float64
+	cachedInterTokenLatencyAt time.Time
 	// freeItems are kept for reuse.
 	freeItems []*item
 
@@ -89,10 +90,11 @@
 	}
 }
 
-// InFlight returns the counter behind the table's max_in_flight, to be exchanged with peers.
+// InFlight returns the counter that enforces the table's max_in_flight, to be exchanged with
+// peers.
 func (s *Scheduler) InFlight() *limits.Counter { return s.inFlight }
 
-// Queued returns the counter behind the table's max_queued, to be exchanged with peers.
+// Queued returns the counter that enforces the table's max_queued, to be exchanged with peers.
 func (s *Scheduler) Queued() *limits.Counter { return s.queued }
 
 // Backpressure returns the rate limits and pauses that endpoints have requested, to be
@@ -130,16 +132,16 @@
 			e.removed = true
 		}
 	}
-	s.backpressure.Listed(now, func(l fleet.Life) bool { return s.endpointOf(l) != nil })
+	s.backpressure.Listed(now, func(instance fleet.Life) bool { return s.endpointOf(instance) != nil })
 	clear(s.targets)
 	s.recomputePeerLoads()
 }
 
 // endpointOf returns the endpoint of an instance, or nil if the list has no such endpoint or
 // another incarnation of it.
-func (s *Scheduler) endpointOf(l fleet.Life) *endpoint {
-	e := s.byID[l.Endpoint]
-	if e == nil || e.spec.Incarnation != l.Incarnation {
+func (s *Scheduler) endpointOf(instance fleet.Life) *endpoint {
+	e := s.byID[instance.Endpoint]
+	if e == nil || e.spec.Incarnation != instance.Incarnation {
 		return nil
 	}
 	return e
@@ -163,10 +165,10 @@
 	}
 }
 
-// SetChoices sets how many endpoints of the own and of other data centres a decision compares.
-// Comparing many endpoints with stale load data does harm: entries with the same stale data all
-// choose the same endpoint.
-func (s *Scheduler) SetChoices(local, remote int) {
+// SetSampleSizes sets how many endpoints of the own and of other data centres a decision
+// compares, unless sampling is disabled. The samples must be small, since entries that compare
+// many endpoints with the same stale load data all choose the same endpoint.
+func (s *Scheduler) SetSampleSizes(local, remote int) {
 	if s.cfg.DisableSampling {
 		return
 	}
@@ -175,10 +177,10 @@
 }
 
 // SetHome sets how many home entries an endpoint has if this entry is one of them; zero means
-// that it is none. Home entries split the endpoint's memory in equal parts. Within its part an
-// entry doesn't depend on the load of its peers, so that stale peer state can't make all of them
-// send at once. Beyond its part, and at other endpoints, it sends only while the projected
-// utilization is at most Config.BorrowFill.
+// that it isn't. Home entries split the endpoint's memory into equal partitions. Within its
+// partition an entry doesn't depend on the load of its peers, so that stale peer state can't make
+// all of them send at once. Beyond its partition, and at other endpoints, it sends only while the
+// projected utilization is at most Config.MaxBorrowUtilization.
 func (s *Scheduler) SetHome(id string, entries int) {
 	if entries == 0 {
 		delete(s.homeEntries, id)
@@ -194,7 +196,7 @@
 func (s *Scheduler) queue(target string) *queue {
 	q := s.queues[target]
 	if q == nil {
-		q = &queue{meanLogDensity: math.NaN()}
+		q = &queue{meanLogValuePerCost: math.NaN()}
 		s.queues[target] = q
 	}
 	return q
@@ -210,20 +212,20 @@
 	if it == nil || generated <= it.generated {
 		return
 	}
-	if !it.lastToken.IsZero() {
-		it.endpoint.observeTokenGap(now.Sub(it.lastToken) / time.Duration(generated-it.generated))
+	if !it.lastTokenAt.IsZero() {
+		it.endpoint.observeInterTokenLatency(now.Sub(it.lastTokenAt) / time.Duration(generated-it.generated))
 	}
 	if it.generated == 0 {
 		s.recordAnswer(now, it.endpoint)
 		s.learnFromFirstToken(now, it)
 		it.endPrefill()
 	}
-	it.lastToken = now
+	it.lastTokenAt = now
 	reproject := generated/reprojectTokens != it.generated/reprojectTokens
 	it.generated = generated
-	if it.run.Advance(generated) || reproject {
+	if it.lengthTracker.Advance(generated) || reproject {
 		it.endpoint.addProjection(it, -1)
-		it.projection = it.run.Project(it.req.PromptTokens, generated).Bound(generated, it.req.MaxTokens)
+		it.projection = it.lengthTracker.Project(it.req.PromptTokens, generated).Bound(generated, it.req.MaxTokens)
 		it.endpoint.addProjection(it, 1)
 	}
 }
@@ -238,7 +240,7 @@
 	it.endpoint.addProjection(it, -1)
 	it.endpoint.ownRunning--
 	it.endpoint = dest
-	it.lastToken = time.Time{}
+	it.lastTokenAt = time.Time{}
 	dest.addProjection(it, 1)
 	dest.ownRunning++
 }
@@ -259,7 +261,7 @@
 		e.ownProjection = lengths.Projection{}
 	}
 	if res.Complete && it.req.PromptTokens > 0 && !s.cfg.DisableLengthLearning {
-		it.run.End(res.Generated)
+		it.lengthTracker.End(res.Generated)
 	}
 	if res.Complete {
 		s.learnRunTime(now, it)
@@ -288,7 +290,7 @@
 	}
 }
 
-// PromptSent records that a peer has sent a prompt of so many tokens to an engine; see
+// PromptSent records that a peer has sent a prompt of a length in tokens to an engine; see
 // pending_prompts.go. Without a prefill rate the estimated prefill backlog doesn't change.
 func (s *Scheduler) PromptSent(now time.Time, endpoint string, tokens int) {
 	if e := s.byID[endpoint]; e != nil {
--- a/pkg/scheduler/scheduler_test.go
+++ b/pkg/scheduler/scheduler_test.go
@@ -37,27 +37,27 @@
 	cfg := scheduler.Version(scheduler.CurrentVersion)
 	cfg.DataCenter = "hall"
 	cfg.Rand = rand.New(rand.NewPCG(5, 5))
-	b := &testScheduler{Scheduler: scheduler.New(cfg), now: time.Unix(1000, 0)}
-	b.SetEndpoints(b.now, endpoints)
+	s := &testScheduler{Scheduler: scheduler.New(cfg), now: time.Unix(1000, 0)}
+	s.SetEndpoints(s.now, endpoints)
 	for _, e := range endpoints {
 		if e.DataCenter == "hall" {
-			b.SetHome(e.ID, 1)
+			s.SetHome(e.ID, 1)
 		}
 	}
-	return b
+	return s
 }
 
-func (b *testScheduler) submit(prompt int, change func(*scheduler.Request)) (scheduler.ID, *outcome.Error) {
-	b.lastID++
-	r := scheduler.Request{ID: b.lastID, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: prompt, ArrivedAt: b.now}
+func (s *testScheduler) submit(prompt int, change func(*scheduler.Request)) (scheduler.ID, *outcome.Error) {
+	s.lastID++
+	r := scheduler.Request{ID: s.lastID, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: prompt, ArrivedAt: s.now}
 	if change != nil {
 		change(&r)
 	}
-	return b.lastID, b.Submit(b.now, r)
+	return s.lastID, s.Submit(s.now, r)
 }
 
-func (b *testScheduler) dispatched() (ids []scheduler.ID) {
-	for _, d := range b.Next(b.now).Dispatches {
+func (s *testScheduler) dispatched() (ids []scheduler.ID) {
+	for _, d := range s.Next(s.now).Dispatches {
 		ids = append(ids, d.ID)
 	}
 	return ids
@@ -67,59 +67,59 @@
 
 var _ = Describe("the scheduler", func() {
 	It("queues requests behind one that does not fit, but lets urgent ones pass", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
-		first, _ := b.submit(6000, nil)
-		Expect(b.dispatched()).To(ConsistOf(first))
-		large, _ := b.submit(6000, nil)
-		alike, _ := b.submit(6000, nil)
-		urgent, _ := b.submit(10, makeUrgent)
-		Expect(b.dispatched()).To(ConsistOf(urgent))
-		b.Finish(b.now, first, scheduler.Result{Complete: true, Generated: 10})
-		Expect(b.dispatched()).To(ConsistOf(large))
-		b.Finish(b.now, large, scheduler.Result{Complete: true, Generated: 10})
-		Expect(b.dispatched()).To(ConsistOf(alike))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
+		first, _ := s.submit(6000, nil)
+		Expect(s.dispatched()).To(ConsistOf(first))
+		large, _ := s.submit(6000, nil)
+		alike, _ := s.submit(6000, nil)
+		urgent, _ := s.submit(10, makeUrgent)
+		Expect(s.dispatched()).To(ConsistOf(urgent))
+		s.Finish(s.now, first, scheduler.Result{Complete: true, Generated: 10})
+		Expect(s.dispatched()).To(ConsistOf(large))
+		s.Finish(s.now, large, scheduler.Result{Complete: true, Generated: 10})
+		Expect(s.dispatched()).To(ConsistOf(alike))
 	})
 
 	It("does not let a stream of small requests starve a large one", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
 		var running []scheduler.ID
 		small := func() {
-			b.submit(1500, nil)
-			running = append(running, b.dispatched()...)
+			s.submit(1500, nil)
+			running = append(running, s.dispatched()...)
 		}
 		for range 20 {
 			small()
 		}
-		large, err := b.submit(8000, nil)
+		large, err := s.submit(8000, nil)
 		Expect(err).To(BeNil())
-		end := b.now.Add(defaultRow.MaxQueueTime)
-		for b.now.Before(end) && !slices.Contains(running, large) {
-			b.now = b.now.Add(100 * time.Millisecond)
+		end := s.now.Add(defaultRow.MaxQueueTime)
+		for s.now.Before(end) && !slices.Contains(running, large) {
+			s.now = s.now.Add(100 * time.Millisecond)
 			small()
 			if len(running) > 0 {
-				b.Finish(b.now, running[0], scheduler.Result{Complete: true, Generated: 50})
+				s.Finish(s.now, running[0], scheduler.Result{Complete: true, Generated: 50})
 				running = running[1:]
 			}
-			running = append(running, b.dispatched()...)
+			running = append(running, s.dispatched()...)
 		}
 		Expect(running).To(ContainElement(large))
 	})
 
 	It("sends an urgent request even if long ones use all memory", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
-		b.submit(30_000, nil)
-		Expect(b.dispatched()).To(HaveLen(1), "an idle endpoint accepts any request")
-		urgent, _ := b.submit(500, makeUrgent)
-		Expect(b.dispatched()).To(ConsistOf(urgent))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
+		s.submit(30_000, nil)
+		Expect(s.dispatched()).To(HaveLen(1), "an idle endpoint accepts any request")
+		urgent, _ := s.submit(500, makeUrgent)
+		Expect(s.dispatched()).To(ConsistOf(urgent))
 	})
 
 	It("refuses a request that has waited too long as not run, with a retry delay", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
-		b.submit(9000, nil)
-		b.dispatched()
-		waiting, _ := b.submit(9000, nil)
-		b.now = b.now.Add(defaultRow.MaxQueueTime + time.Second)
-		refusals := b.Next(b.now).Refusals
+		s := newTestScheduler(engineWithCapacity("e", "hall", 10_000))
+		s.submit(9000, nil)
+		s.dispatched()
+		waiting, _ := s.submit(9000, nil)
+		s.now = s.now.Add(defaultRow.MaxQueueTime + time.Second)
+		refusals := s.Next(s.now).Refusals
 		Expect(refusals).To(HaveLen(1))
 		Expect(refusals[0].ID).To(Equal(waiting))
 		Expect(refusals[0].Err.Outcome).To(Equal(outcome.NotRun))
@@ -127,18 +127,18 @@
 	})
 
 	It("refuses a request at once if it can't start in time by the observed drain rate", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 3_000))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 3_000))
 		var refused *outcome.Error
 		running := map[scheduler.ID]time.Time{}
 		for i := 0; i < 4000 && refused == nil; i++ {
-			b.now = b.now.Add(50 * time.Millisecond)
-			_, refused = b.submit(1000, nil)
-			for _, id := range b.dispatched() {
-				running[id] = b.now
+			s.now = s.now.Add(50 * time.Millisecond)
+			_, refused = s.submit(1000, nil)
+			for _, id := range s.dispatched() {
+				running[id] = s.now
 			}
 			for id, dispatchedAt := range running {
-				if b.now.Sub(dispatchedAt) > 3*time.Second {
-					b.Finish(b.now, id, scheduler.Result{Complete: true, Generated: 200})
+				if s.now.Sub(dispatchedAt) > 3*time.Second {
+					s.Finish(s.now, id, scheduler.Result{Complete: true, Generated: 200})
 					delete(running, id)
 				}
 			}
@@ -149,112 +149,112 @@
 	})
 
 	It("sends no new work to a leaving or broken endpoint", func() {
-		b := newTestScheduler(engineWithCapacity("a", "hall", 10_000), engineWithCapacity("b", "hall", 10_000))
-		b.SetLeaving("a", true)
+		s := newTestScheduler(engineWithCapacity("a", "hall", 10_000), engineWithCapacity("b", "hall", 10_000))
+		s.SetLeaving("a", true)
 		for range 5 {
-			id, _ := b.submit(10, nil)
-			d := b.Next(b.now).Dispatches
+			id, _ := s.submit(10, nil)
+			d := s.Next(s.now).Dispatches
 			Expect(d).To(HaveLen(1))
 			Expect(d[0].Endpoint.ID).To(Equal("b"))
-			b.Finish(b.now, id, scheduler.Result{Failed: true})
-			if b.Status(b.now)[1].Breaker.String() == "open" {
+			s.Finish(s.now, id, scheduler.Result{Failed: true})
+			if s.Status(s.now)[1].Breaker.String() == "open" {
 				break
 			}
 		}
-		b.submit(10, nil)
-		Expect(b.dispatched()).To(BeEmpty())
+		s.submit(10, nil)
+		Expect(s.dispatched()).To(BeEmpty())
 	})
 
 	It("sends to another data centre only with a fresh report", func() {
-		b := newTestScheduler(engineWithCapacity("near", "hall", 2_000), engineWithCapacity("far", "other", 10_000))
-		b.submit(1500, nil)
-		Expect(b.dispatched()).To(HaveLen(1))
-		b.submit(1500, nil)
-		Expect(b.dispatched()).To(BeEmpty(), "the load of the remote endpoint is unknown")
-		b.Report(b.now, scheduler.Report{Endpoint: "far", Incarnation: 1, ReportedAt: b.now, CapacityTokens: 10_000})
-		Expect(b.dispatched()).To(HaveLen(1))
-		b.now = b.now.Add(10 * time.Second)
-		b.submit(1500, nil)
-		Expect(b.dispatched()).To(BeEmpty(), "the report is stale")
+		s := newTestScheduler(engineWithCapacity("near", "hall", 2_000), engineWithCapacity("far", "other", 10_000))
+		s.submit(1500, nil)
+		Expect(s.dispatched()).To(HaveLen(1))
+		s.submit(1500, nil)
+		Expect(s.dispatched()).To(BeEmpty(), "the load of the remote endpoint is unknown")
+		s.Report(s.now, scheduler.Report{Endpoint: "far", Incarnation: 1, ReportedAt: s.now, CapacityTokens: 10_000})
+		Expect(s.dispatched()).To(HaveLen(1))
+		s.now = s.now.Add(10 * time.Second)
+		s.submit(1500, nil)
+		Expect(s.dispatched()).To(BeEmpty(), "the report is stale")
 	})
 
-	It("stays within its part of an endpoint without peer state", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 30_000))
-		b.SetHome("e", 3)
-		b.Report(b.now, scheduler.Report{Endpoint: "e", Incarnation: 1, ReportedAt: b.now, UsedTokens: 24_000, CapacityTokens: 30_000, Running: 5})
+	It("stays within its partition of an endpoint without peer state", func() {
+		s := newTestScheduler(engineWithCapacity("e", "hall", 30_000))
+		s.SetHome("e", 3)
+		s.Report(s.now, scheduler.Report{Endpoint: "e", Incarnation: 1, ReportedAt: s.now, UsedTokens: 24_000, CapacityTokens: 30_000, Running: 5})
 		sum := 0
 		for range 30 {
-			b.submit(1000, nil)
-			sum += 1000 * len(b.dispatched())
+			s.submit(1000, nil)
+			sum += 1000 * len(s.dispatched())
 		}
 		Expect(sum).To(BeNumerically(">", 3_000))
 		Expect(sum).To(BeNumerically("<=", 10_000))
 	})
 
 	It("enforces the limits of the table", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 1<<20))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 1<<20))
 		limit := func(r *scheduler.Request) { r.Row.MaxInFlight = 2; r.Row.MaxQueued = 3 }
 		for range 2 {
-			b.submit(10, limit)
+			s.submit(10, limit)
 		}
-		Expect(b.dispatched()).To(HaveLen(2))
+		Expect(s.dispatched()).To(HaveLen(2))
 		for range 3 {
-			_, err := b.submit(10, limit)
+			_, err := s.submit(10, limit)
 			Expect(err).To(BeNil())
 		}
-		Expect(b.dispatched()).To(BeEmpty())
-		_, err := b.submit(10, limit)
+		Expect(s.dispatched()).To(BeEmpty())
+		_, err := s.submit(10, limit)
 		Expect(err.Code).To(Equal(outcome.CodeQueueFull))
 	})
 
 	It("projects memory by the caller's bound on the output", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 3_000))
-		b.submit(100, nil)
-		b.dispatched()
-		unbounded, _ := b.submit(2500, nil)
-		Expect(b.dispatched()).To(BeEmpty())
-		Expect(b.Cancel(b.now, unbounded)).To(BeTrue())
-		bounded, _ := b.submit(2500, func(r *scheduler.Request) { r.MaxTokens = 32 })
-		Expect(b.dispatched()).To(ConsistOf(bounded))
+		s := newTestScheduler(engineWithCapacity("e", "hall", 3_000))
+		s.submit(100, nil)
+		s.dispatched()
+		unbounded, _ := s.submit(2500, nil)
+		Expect(s.dispatched()).To(BeEmpty())
+		Expect(s.Cancel(s.now, unbounded)).To(BeTrue())
+		bounded, _ := s.submit(2500, func(r *scheduler.Request) { r.MaxTokens = 32 })
+		Expect(s.dispatched()).To(ConsistOf(bounded))
 	})
 
 	It("removes a cancelled request from the queue", func() {
-		b := newTestScheduler(engineWithCapacity("e", "hall", 2_000))
-		b.submit(1500, nil)
-		b.dispatched()
-		id, _ := b.submit(1500, nil)
-		Expect(b.Cancel(b.now, id)).To(BeTrue())
-		Expect(b.Cancel(b.now, id)).To(BeFalse())
-		Expect(b.Waiting()).To(BeZero())
+		s := newTestScheduler(engineWithCapacity("e", "hall", 2_000))
+		s.submit(1500, nil)
+		s.dispatched()
+		id, _ := s.submit(1500, nil)
+		Expect(s.Cancel(s.now, id)).To(BeTrue())
+		Expect(s.Cancel(s.now, id)).To(BeFalse())
+		Expect(s.Waiting()).To(BeZero())
 	})
 
 	It("releases all counters and memory when requests end", func() {
-		b := newTestScheduler(engineWithCapacity("a", "hall", 50_000), engineWithCapacity("b", "hall", 50_000))
+		s := newTestScheduler(engineWithCapacity("a", "hall", 50_000), engineWithCapacity("b", "hall", 50_000))
 		rng := rand.New(rand.NewPCG(9, 9))
 		var running []scheduler.ID
 		for range 3000 {
-			b.now = b.now.Add(time.Duration(rng.IntN(50)) * time.Millisecond)
-			b.submit(1+rng.IntN(3000), nil)
-			running = append(running, b.dispatched()...)
+			s.now = s.now.Add(time.Duration(rng.IntN(50)) * time.Millisecond)
+			s.submit(1+rng.IntN(3000), nil)
+			running = append(running, s.dispatched()...)
 			for len(running) > 5 {
 				i := rng.IntN(len(running))
-				b.Progress(b.now, running[i], 1+rng.IntN(500))
-				b.Finish(b.now, running[i], scheduler.Result{Complete: rng.IntN(4) > 0, Generated: 500})
+				s.Progress(s.now, running[i], 1+rng.IntN(500))
+				s.Finish(s.now, running[i], scheduler.Result{Complete: rng.IntN(4) > 0, Generated: 500})
 				running = append(running[:i], running[i+1:]...)
 			}
 		}
-		b.now = b.now.Add(time.Hour)
-		b.Next(b.now)
+		s.now = s.now.Add(time.Hour)
+		s.Next(s.now)
 		for _, id := range running {
-			b.Finish(b.now, id, scheduler.Result{})
+			s.Finish(s.now, id, scheduler.Result{})
 		}
-		for _, st := range b.Status(b.now) {
+		for _, st := range s.Status(s.now) {
 			Expect(st.Running).To(BeZero())
 			Expect(st.Projected.Max()).To(BeZero())
 		}
 		k := limits.Key{Workspace: "w", Kind: "k"}
-		Expect(b.InFlight().TotalUsage(k)).To(BeZero())
-		Expect(b.Queued().TotalUsage(k)).To(BeZero())
+		Expect(s.InFlight().TotalUsage(k)).To(BeZero())
+		Expect(s.Queued().TotalUsage(k)).To(BeZero())
 	})
 })
 
--- a/pkg/scheduler/status.go
+++ b/pkg/scheduler/status.go
@@ -21,12 +21,12 @@
 	PeersRunning int
 	// Projected is the memory that these requests are expected to hold, in tokens.
 	Projected lengths.Profile
-	// Backlog is the prefill backlog in tokens.
-	Backlog float64
+	// PrefillBacklog is the number of pending prefill tokens.
+	PrefillBacklog float64
 	// UnattributedTokens is reported memory use that no entry accounts for.
 	UnattributedTokens int
 	CapacityTokens     int
-	// InterTokenLatency is the mean time between tokens; zero if unknown.
+	// InterTokenLatency is a moving average; zero if unknown.
 	InterTokenLatency time.Duration
 	// ReportAge is zero if there is no report.
 	ReportAge time.Duration
@@ -45,11 +45,11 @@
 			Breaker:            e.breaker.State(now),
 			Running:            e.ownRunning,
 			PeersRunning:       e.peersRunning,
-			Backlog:            s.prefillBacklog(now, e),
+			PrefillBacklog:     s.prefillBacklog(now, e),
 			Projected:          e.ownProjection.Mean.Add(e.peerLoad),
 			UnattributedTokens: int(e.unattributedLoad(now)),
 			CapacityTokens:     e.spec.CapacityTokens,
-			InterTokenLatency:  time.Duration(e.tokenGap * float64(time.Second)),
+			InterTokenLatency:  time.Duration(e.interTokenLatency * float64(time.Second)),
 			Preemptions:        e.report.Preemptions,
 		}
 		if !e.report.ReportedAt.IsZero() {
@@ -88,9 +88,9 @@
 	QueueLength int
 	// ExpectedWait is zero if it is unknown.
 	ExpectedWait time.Duration
-	// Candidates, Reasons and EndpointIDs have one element for each endpoint considered.
+	// Candidates, Evaluations and EndpointIDs have one element for each endpoint considered.
 	Candidates  []routing.Candidate
-	Reasons     []routing.Evaluation
+	Evaluations []routing.Evaluation
 	EndpointIDs []string
 }
 
@@ -108,6 +108,6 @@
 	}
 	explanation.Candidates = slices.Clone(s.candidates)
 	req := routing.Request{Urgent: r.Urgent(), ExcludedIndex: routing.None}
-	explanation.Reasons = s.pipeline(it).Explain(&req, s.candidates)
+	explanation.Evaluations = s.pipeline(it).Explain(&req, s.candidates)
 	return explanation
 }
--- a/pkg/scheduler/submit.go
+++ b/pkg/scheduler/submit.go
@@ -87,8 +87,8 @@
 	return steps * (float64(r.PromptTokens) + steps/2)
 }
 
-// admitToQueue returns an error for a request that isn't expected to start by its latestStart,
-// unless refusing waiting requests of lower density makes room for it.
+// admitToQueue returns the error for a request that isn't expected to start by its latestStart,
+// unless it displaces waiting requests of a lower value per cost; nil otherwise.
 func (s *Scheduler) admitToQueue(now time.Time, q *queue, it *item) *outcome.Error {
 	remaining := it.latestStart.Sub(now)
 	wait, known := q.expectedWait(q.costAhead(it))
@@ -102,17 +102,17 @@
 		wait.Round(time.Millisecond), it.req.Row.MaxQueueTime)
 }
 
-// displace makes room for a request by refusing waiting ones ahead of it whose density is lower by
-// Config.DisplaceRatio, the lowest first. It refuses none and returns false if that isn't enough
-// for the request to start within the remaining time.
+// displace refuses waiting requests ahead of a request so that it can start within the remaining
+// time: those whose value per cost is lower by a factor of more than Config.DisplaceRatio, the
+// lowest first. If that isn't enough, it refuses none and returns false.
 func (s *Scheduler) displace(q *queue, it *item, remaining time.Duration) bool {
 	var victims []*item
 	for _, other := range q.items {
-		if other.goesBefore(it) && other.density()*s.cfg.DisplaceRatio < it.density() {
+		if other.goesBefore(it) && other.valuePerCost()*s.cfg.DisplaceRatio < it.valuePerCost() {
 			victims = append(victims, other)
 		}
 	}
-	slices.SortFunc(victims, func(a, b *item) int { return cmp.Compare(a.density(), b.density()) })
+	slices.SortFunc(victims, func(a, b *item) int { return cmp.Compare(a.valuePerCost(), b.valuePerCost()) })
 	ahead := q.costAhead(it)
 	count := 0
 	for _, v := range victims {
--- a/pkg/scheduler/target.go
+++ b/pkg/scheduler/target.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Defaults of Config.LocalChoices and Config.RemoteChoices, the number of candidates of one
-// decision besides the home endpoints.
+// Defaults of Config.LocalSampleSize and Config.RemoteSampleSize. Home endpoints are compared in
+// addition.
 const (
-	defaultLocalChoices  = 8
-	defaultRemoteChoices = 4
+	defaultLocalSampleSize  = 8
+	defaultRemoteSampleSize = 4
 )
 
 // target groups the endpoints that serve one target.
--- a/pkg/scheduler/throttling.go
+++ b/pkg/scheduler/throttling.go
@@ -9,15 +9,15 @@
 )
 
 // Overload handled here: endpoints announce rate limits or pauses. Requests go to other endpoints
-// as far as these have room; package backpressure decides how many each entry may still send. If
-// all endpoints of a target throttle, more requests arrive than may be sent. One that isn't
-// expected to be sent in time is refused on arrival, since its caller may be served through another
-// entry that has a share of the limit.
+// as far as these have free capacity; package backpressure decides how many each entry may still
+// send. If all endpoints of a target throttle, more requests arrive than may be sent. A request
+// that isn't expected to be sent in time is refused on arrival, since its caller may be served
+// through another entry that has a share of the limit.
 
 // Admit reports whether an endpoint instance accepts a request that the scheduler doesn't dispatch,
 // such as a generation that is moved there. If so, it counts the request against the limit.
-func (s *Scheduler) Admit(now time.Time, l fleet.Life) bool {
-	e := s.endpointOf(l)
+func (s *Scheduler) Admit(now time.Time, instance fleet.Life) bool {
+	e := s.endpointOf(instance)
 	if e == nil || !s.backpressure.Takes(now, e.spec) {
 		return false
 	}
@@ -30,33 +30,33 @@
 // expected to be sent at the last moment would expire in the queue.
 const maxDispatchDelay = 25 * time.Millisecond
 
-// refuseThrottled returns the error for a request that, behind so many waiting ones, isn't expected
-// to be sent to a throttling endpoint before its latest start; nil otherwise.
+// refuseThrottled returns the error for a request that, with ahead requests to be sent before it,
+// isn't expected to be sent to a throttling endpoint before its latest start; nil otherwise.
 func (s *Scheduler) refuseThrottled(now time.Time, it *item, ahead int) *outcome.Error {
 	if s.backpressure.Idle() {
 		return nil
 	}
-	room := s.roomFor(now, it)
+	capacity := s.availableCapacity(now, it)
 	remaining := max(it.latestStart.Sub(now)-time.Duration(ahead+1)*maxDispatchDelay, 0)
 	// Without an available endpoint, throttling isn't the reason why the request waits.
-	if room.None() || room.Within(remaining, ahead) {
+	if capacity.None() || capacity.Within(remaining, ahead) {
 		return nil
 	}
 	s.saturatedAt = now
-	return s.refusal(outcome.CodeEndpointsThrottling, room.Wait(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
+	return s.refusal(outcome.CodeEndpointsThrottling, capacity.Wait(ahead), "the endpoints of %q take no more at present", it.req.Row.Target)
 }
 
-// roomFor sums how many requests of this entry the endpoints that may serve a request accept.
-// Endpoints that are presumed unavailable are excluded.
-func (s *Scheduler) roomFor(now time.Time, it *item) backpressure.Room {
-	var room backpressure.Room
+// availableCapacity sums how many requests of this entry the endpoints accept that may serve a
+// request. Endpoints that are presumed unavailable are excluded.
+func (s *Scheduler) availableCapacity(now time.Time, it *item) backpressure.Room {
+	var capacity backpressure.Room
 	for e := range s.notLeaving(it.req.Row.Target) {
-		if room.Open {
+		if capacity.Open {
 			break
 		}
 		if it.req.allowsEndpoint(e) && !s.presumedUnavailable(now, e) {
-			s.backpressure.Add(now, &room, e.spec)
+			s.backpressure.Add(now, &capacity, e.spec)
 		}
 	}
-	return room
+	return capacity
 }
--- a/pkg/scheduler/ttft.go
+++ b/pkg/scheduler/ttft.go
@@ -20,8 +20,8 @@
 // refused, since a late answer is better than none. The engine with the most free memory may have
 // the largest backlog, and urgent prompts there, and long ones behind them, would start late.
 
-// startMargin allows for what is unknown when a prompt is sent: one prompt that a peer sends at
-// the same time, which is 2,200 to 3,000 tokens at DefaultReadRate.
+// startMargin allows for one prompt that a peer sends to the same engine at the same time: 2,200
+// to 3,000 tokens, prefilled at DefaultPrefillRate.
 const startMargin = 350 * time.Millisecond
 
 // nearlyIdle reports whether a prefill backlog takes at most startMargin.
@@ -50,7 +50,8 @@
 }
 
 // startsInTime reports whether an engine with a prefill backlog is expected to start a request's
-// answer within its ttftLimit; always true if it has none.
+// answer within its ttftLimit. It is always true for requests without such a limit; see
+// mustStartInTime.
 func (s *Scheduler) startsInTime(now time.Time, backlog float64, it *item) bool {
 	if !s.mustStartInTime(it) {
 		return true
@@ -96,12 +97,12 @@
 	if !s.mustStartInTime(it) || it.req.Urgent() {
 		return nil
 	}
-	lowest := s.minBacklog(now, it.req.Row.Target)
-	if math.IsInf(lowest, 1) || s.startsInTime(now, lowest, it) {
+	smallestBacklog := s.minBacklog(now, it.req.Row.Target)
+	if math.IsInf(smallestBacklog, 1) || s.startsInTime(now, smallestBacklog, it) {
 		return nil
 	}
 	s.saturatedAt = now
-	delay := now.Sub(it.req.ArrivedAt) + s.expectedTTFT(now, lowest, it) + startMargin - s.ttftLimit(now, it)
+	delay := now.Sub(it.req.ArrivedAt) + s.expectedTTFT(now, smallestBacklog, it) + startMargin - s.ttftLimit(now, it)
 	return s.refusal(outcome.CodeDeadlineUnreachable, delay, "the first engine would begin %v after the objective of %v",
 		delay.Round(time.Millisecond), s.ttftLimit(now, it).Round(time.Millisecond))
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -115,7 +115,7 @@
 mutant "store: no entries are no endpoints" platform/store.go 's/if w.Entries == nil || w.AsOf == nil {/if w.AsOf == nil {/' ./platform
 mutant "keys: an empty one opens" pkg/table/route.go 's/^\t\t\tif k == "" {$/\t\t\tif false {/' ./platform
 restarts="./internal/gateway -run"
-mutant "lives: reports of another counted" pkg/scheduler/scheduler.go 's/if e == nil || e.spec.Incarnation != l.Incarnation {/if e == nil {/' ./pkg/scheduler
+mutant "lives: reports of another counted" pkg/scheduler/scheduler.go 's/if e == nil || e.spec.Incarnation != instance.Incarnation {/if e == nil {/' ./pkg/scheduler
 mutant "lives: a leave marks the next" pkg/scheduler/scheduler.go 's/^\t\t\tdelete(s.leaving, spec.ID)$//' ./pkg/scheduler
 mutant "lives: a leave is known too late" internal/peering/beliefs.go 's/^\t\tb.setLeaving(p)$//' ./internal/peering
 mutant "lives: named by their ids" internal/peering/loads.go 's/if l.Told() {/if false {/' ./internal/peering
