--- a/internal/controllers/config.go
+++ b/internal/controllers/config.go
@@ -170,7 +170,7 @@
 	c.regained()
 	now := clock.Now()
 	for _, v := range inOrder(values) {
-		c.Store.OfferRead(now, v, Source)
+		c.Store.OfferFromStore(now, v, Source)
 	}
 	c.Store.Settle(now)
 	return len(values) > 0, nil
--- a/internal/controllers/config_test.go
+++ b/internal/controllers/config_test.go
@@ -85,7 +85,7 @@
 func config(p controllers.Reader, onState func(bool, time.Duration, error)) *controllers.Config {
 	return &controllers.Config{
 		Reader:  p,
-		Store:   published.New(published.OwnParsers(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
+		Store:   published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
 		Beliefs: alone(),
 		Wait:    3 * time.Second,
 		Spacing: 250 * time.Millisecond,
@@ -153,7 +153,7 @@
 			c := &controllers.Config{
 				Reader: p, Beliefs: knowing(names[0], names[1]), Wait: 3 * time.Second,
 				Spacing: 250 * time.Millisecond, SecondSpacing: time.Second, LookIn: time.Minute,
-				Store:   published.New(published.OwnParsers(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
+				Store:   published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
 				OnError: func(error) {},
 			}
 			c.Run(ctx)
@@ -228,7 +228,7 @@
 		p := &busy{}
 		config := &controllers.Config{
 			Reader: p, Beliefs: beliefs, Wait: 3 * time.Second, Spacing: 250 * time.Millisecond, Settle: settle, LookIn: time.Minute,
-			Store:   published.New(published.OwnParsers(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
+			Store:   published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
 			OnError: func(error) {},
 		}
 		var loops sync.WaitGroup
--- a/internal/controllers/seeds_test.go
+++ b/internal/controllers/seeds_test.go
@@ -30,7 +30,7 @@
 func newMeeting(vm, address string, seeds ...string) *meeting {
 	view := membership.New(membership.Config{VM: vm, DataCenter: "dc", PeerAddress: address, Epoch: 1, Incarnation: []byte(vm)})
 	beliefs := peering.NewBeliefs(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
-	store := published.New(published.Parsers{}, func(published.Event) {}, nil)
+	store := published.New(published.Config{}, func(published.Event) {}, nil)
 	traffic := &peering.Traffic{}
 	client := peering.NewClient(peering.Config{Beliefs: beliefs, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
 	return &meeting{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -95,7 +95,7 @@
 		Epoch:       uint64(e.started.UnixMilli()),
 		Incarnation: incarnation[:],
 	}), e.dispatcher, peering.HomeEntries, e.onLeave)
-	e.store = published.New(published.OwnParsers(), e.onValue, func(list *fleet.List, _ time.Time) { e.beliefs.ApplyFleet(list) })
+	e.store = published.New(published.NativeConfig(), e.onValue, func(list *fleet.List, _ time.Time) { e.beliefs.ApplyFleet(list) })
 	e.makeRunner()
 	e.makePeers(incarnation, secret)
 	e.makeControllers()
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -53,7 +53,7 @@
 		Tickets:    operatorapi.Tickets{Running: running, Records: records},
 		Violations: violations(),
 	}
-	if _, err := e.store.Findings(); err != nil {
+	if _, err := e.store.TableFindings(); err != nil {
 		out.TableErrors = strings.Split(err.Error(), "\n")
 	}
 	e.beliefs.View(func(v *membership.View) {
@@ -80,7 +80,7 @@
 }
 
 func (e *Entry) values(now time.Time) []operatorapi.Value {
-	seen := e.store.Seen()
+	seen := e.store.SeenRevisions()
 	var out []operatorapi.Value
 	if h := e.store.Table(); h != nil {
 		out = append(out, valueStatus(published.Table, h.Revision, seen[published.Table], now.Sub(h.Since)))
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -27,12 +27,12 @@
 	"github.com/bridgehoist/bridgehoist/platform"
 )
 
-func (g *Gateway) parsers() published.Parsers {
+func (g *Gateway) parsers() published.Config {
 	endpoints := platform.NewEndpointParser(func(f fleet.Findings) {
 		g.metrics.Values.WithLabelValues(published.Fleet, register.Rejected.String()).Inc()
 		g.log.Warn("endpoint records left out", "findings", f.Error())
 	})
-	return published.Parsers{Table: platform.ParseConfiguration, Fleet: endpoints.Parse, Pace: listPace, MaxPace: g.maxListPace()}
+	return published.Config{ParseTable: platform.ParseConfiguration, ParseFleet: endpoints.Parse, ApplyIntervalPerEndpoint: listPace, MaxApplyInterval: g.maxListPace()}
 }
 
 const (
@@ -62,8 +62,8 @@
 // applyLater puts a list of endpoints into force that has to wait.
 func (g *Gateway) applyLater(at time.Time) {
 	time.AfterFunc(max(clock.Until(at), time.Millisecond), func() {
-		g.store.ApplyDue(clock.Now())
-		if again, ok := g.store.Due(); ok {
+		g.store.ApplyDeferred(clock.Now())
+		if again, ok := g.store.DeferredUntil(); ok {
 			g.applyLater(again)
 		}
 	})
--- a/internal/gateway/list_work_test.go
+++ b/internal/gateway/list_work_test.go
@@ -38,7 +38,7 @@
 	g.work = t.Context()
 	f := &largeFleet{g: g, registry: fleet.NewRegistry()}
 	config := standin.Configuration{Version: 1, Engines: []string{"engine"}, Services: []string{"desk"}}
-	g.store.Offer(clock.Now(), published.Value{Name: published.Table, Revision: 1, Content: config.Encode()}, "test")
+	g.store.OfferFromPeer(clock.Now(), published.Value{Name: published.Table, Revision: 1, Content: config.Encode()}, "test")
 	var members []*peerv1.NodeRecord
 	for i := 1; i < entries; i++ {
 		members = append(members, &peerv1.NodeRecord{Vm: fmt.Sprintf("vm-%04d", i), DataCenter: fmt.Sprintf("dc-%d", i%5), PeerAddress: fmt.Sprintf("10.0.%d.%d:1", i/200, i%200), Epoch: 1, Version: 1, State: peerv1.NodeState_NODE_STATE_LIVE})
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.store.Offer(clock.Now(), published.Value{Name: published.Fleet, Revision: f.registry.Revision(), Content: content}, "test")
+	g.store.OfferFromPeer(clock.Now(), published.Value{Name: published.Fleet, Revision: f.registry.Revision(), Content: content}, "test")
 	return f
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.g.store.Offer(clock.Now(), published.Value{Name: published.Fleet, Revision: f.registry.Revision(), Content: content, Base: base, Changes: data}, "test")
+	f.g.store.OfferFromPeer(clock.Now(), published.Value{Name: published.Fleet, Revision: f.registry.Revision(), Content: content, Base: base, Changes: data}, "test")
 }
 
 // A list that waits until it comes into force would reach a fleet only after the waits of all entries
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -126,7 +126,7 @@
 		req.All = scope == ""
 		req.Digests = v.Digests(clock.Now(), scope)
 	})
-	for name, newest := range c.cfg.Store.Seen() {
+	for name, newest := range c.cfg.Store.SeenRevisions() {
 		req.DocumentDigests = append(req.DocumentDigests, &peerv1.DocumentDigest{Name: name, Revision: uint64(newest)})
 	}
 	return req
@@ -178,7 +178,7 @@
 		if i < len(resp.GetWantedSince()) {
 			since = revision.ID(resp.GetWantedSince()[i])
 		}
-		if v, ok := c.cfg.Store.Since(name, since); ok {
+		if v, ok := c.cfg.Store.GetAsChanges(name, since); ok {
 			wanted = append(wanted, v)
 		}
 	}
--- a/internal/peering/convert.go
+++ b/internal/peering/convert.go
@@ -61,10 +61,10 @@
 func documentsOut(now time.Time, in []published.Value) []*peerv1.Document {
 	out := make([]*peerv1.Document, 0, len(in))
 	for _, v := range in {
-		age := max(now.Sub(v.Since).Milliseconds(), 0)
+		age := max(now.Sub(v.FirstReadAt).Milliseconds(), 0)
 		d := &peerv1.Document{Name: v.Name, Revision: uint64(v.Revision), Content: v.Content, AgeMs: uint32(min(age, math.MaxUint32)), Certain: v.Certain}
 		if v.Content == nil {
-			d.Base, d.Content, d.Sum = uint64(v.Base), v.Changes, v.Sum
+			d.Base, d.Content, d.Sum = uint64(v.Base), v.Changes, v.ContentHash
 		}
 		out = append(out, d)
 	}
@@ -73,9 +73,9 @@
 
 func documentIn(now time.Time, d *peerv1.Document) published.Value {
 	age := time.Duration(d.GetAgeMs()) * time.Millisecond
-	v := published.Value{Name: d.GetName(), Revision: revision.ID(d.GetRevision()), Content: d.GetContent(), Since: now.Add(-age), Certain: d.GetCertain()}
+	v := published.Value{Name: d.GetName(), Revision: revision.ID(d.GetRevision()), Content: d.GetContent(), FirstReadAt: now.Add(-age), Certain: d.GetCertain()}
 	if d.GetBase() > 0 {
-		v.Base, v.Content, v.Changes, v.Sum = revision.ID(d.GetBase()), nil, d.GetContent(), d.GetSum()
+		v.Base, v.Content, v.Changes, v.ContentHash = revision.ID(d.GetBase()), nil, d.GetContent(), d.GetSum()
 	}
 	return v
 }
--- a/internal/peering/convert_test.go
+++ b/internal/peering/convert_test.go
@@ -13,7 +13,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	for _, certain := range []bool{false, true} {
-		sent := published.Value{Name: published.Table, Revision: 7, Content: []byte("t"), Since: now, Certain: certain}
+		sent := published.Value{Name: published.Table, Revision: 7, Content: []byte("t"), FirstReadAt: now, Certain: certain}
 		g.Expect(documentIn(now, documentsOut(now, []published.Value{sent})[0])).To(Equal(sent))
 	}
 }
--- a/internal/peering/exchange_test.go
+++ b/internal/peering/exchange_test.go
@@ -52,7 +52,7 @@
 func newPeer(tb testing.TB, vm string) *peer {
 	p := &peer{
 		beliefs: beliefsOf(vm, "hall"),
-		store:   published.New(published.Parsers{Table: anyTable}, func(published.Event) {}, nil),
+		store:   published.New(published.Config{ParseTable: anyTable}, func(published.Event) {}, nil),
 	}
 	var others []*peerv1.NodeRecord
 	for i := range largeHall {
@@ -97,9 +97,9 @@
 	for _, holds := range []string{"asked", "asking"} {
 		a, b := newPeer(t, "a"), newPeer(t, "b")
 		if holds == "asked" {
-			b.store.Offer(time.Now(), large, "test")
+			b.store.OfferFromPeer(time.Now(), large, "test")
 		} else {
-			a.store.Offer(time.Now(), large, "test")
+			a.store.OfferFromPeer(time.Now(), large, "test")
 		}
 		a.meet(g, b)
 		g.Expect(append(a.asked, a.answered...)).To(ContainElement("gzip"), holds)
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -113,8 +113,8 @@
 	for _, d := range msg.GetDocumentDigests() {
 		theirs[d.GetName()] = revision.ID(d.GetRevision())
 	}
-	resp.Documents = s.large.bounded(ctx, documentsOut(now, s.store.Newer(theirs, msg.GetTakesChanges())))
-	ours := s.store.Seen()
+	resp.Documents = s.large.bounded(ctx, documentsOut(now, s.store.NewerThan(theirs, msg.GetTakesChanges())))
+	ours := s.store.SeenRevisions()
 	for name, newest := range theirs {
 		if newest > ours[name] && s.large.asks(now, name, ours[name]) {
 			resp.WantedDocuments = append(resp.WantedDocuments, name)
@@ -125,7 +125,7 @@
 
 func takeDocuments(now time.Time, store *published.Store, docs []*peerv1.Document, from string) {
 	for _, d := range docs {
-		store.Offer(now, documentIn(now, d), from)
+		store.OfferFromPeer(now, documentIn(now, d), from)
 	}
 }
 
--- a/internal/published/changes.go
+++ b/internal/published/changes.go
@@ -10,106 +10,111 @@
 	"github.com/bridgehoist/bridgehoist/pkg/revision"
 )
 
-// maxLogged bounds the changes that are kept for others, and maxShare the share of the whole
-// value up to which changes are sent in place of it.
+// maxLoggedChanges bounds the changes kept for peers. maxChangesRatio is the largest size of
+// encoded changes, relative to the full value, at which changes are sent instead of the full
+// value.
 const (
-	maxLogged = 512
-	maxShare  = 0.25
+	maxLoggedChanges = 512
+	maxChangesRatio  = 0.25
 )
 
-// changeLog holds the newest changes of the registry of endpoints.
+// changeLog holds the latest changes of the endpoint registry.
 type changeLog struct {
-	// from is the revision after which the changes lead to the newest one.
-	from    revision.ID
+	// base is the revision to which the first of the changes applies.
+	base    revision.ID
 	changes []fleet.Record
 }
 
-// note records how the newest value came about. The caller holds the lock.
-func (s *Store) note(v Value) {
+// recordChanges logs the changes between the newest fleet list and the one that replaces it. If
+// these are unknown, the log starts again at the new revision. The caller holds the lock.
+func (s *Store) recordChanges(v Value) {
 	if v.Name != Fleet {
 		return
 	}
-	before := s.raw[Fleet]
-	changes, err := changesTo(v, before)
+	current := s.newest[Fleet]
+	changes, err := changesBetween(v, current)
 	if err != nil {
-		s.log = changeLog{from: v.Revision}
+		s.log = changeLog{base: v.Revision}
 		return
 	}
-	if s.log.from == 0 {
-		s.log.from = before.Revision
+	if s.log.base == 0 {
+		s.log.base = current.Revision
 	}
-	s.log.add(before.Revision, changes)
+	s.log.add(current.Revision, changes)
 }
 
-// errNoChanges says that it isn't known how a value came about.
-var errNoChanges = errors.New("published: no changes are known that lead to the value")
+// errChangesUnknown means that the changes between two values can't be determined.
+var errChangesUnknown = errors.New("published: changes that lead to the value are unknown")
 
-// changesTo finds the changes that lead from one value to a later one. Where the value came whole
-// the two are compared: if whoever is sent a whole list forgot the changes before it, it would have
-// to send whole lists as well, and one would follow from the other through the fleet.
-func changesTo(v, before Value) ([]fleet.Record, error) {
+// changesBetween returns the changes that lead from previous to v. If v came in full, the two
+// contents are compared. Dropping the log instead would make this entry send full lists to its
+// peers, which would then have to do the same, so that one full list would spread through the
+// whole fleet.
+func changesBetween(v, previous Value) ([]fleet.Record, error) {
 	switch {
-	case before.Revision == 0 || before.Revision.Epoch() != v.Revision.Epoch():
-		return nil, errNoChanges
+	case previous.Revision == 0 || previous.Revision.Epoch() != v.Revision.Epoch():
+		return nil, errChangesUnknown
 	case v.Base == 0:
-		return fleet.Diff(before.Content, v.Content, v.Revision.Number())
-	case v.Base > before.Revision || v.Base.Epoch() != v.Revision.Epoch():
-		return nil, errNoChanges
+		return fleet.Diff(previous.Content, v.Content, v.Revision.Number())
+	case v.Base > previous.Revision || v.Base.Epoch() != v.Revision.Epoch():
+		return nil, errChangesUnknown
 	}
 	return fleet.DecodeChanges(v.Changes)
 }
 
-// add appends the changes after a revision.
+// add appends the changes after a revision and drops the oldest ones beyond maxLoggedChanges.
 func (l *changeLog) add(after revision.ID, changes []fleet.Record) {
 	l.changes = append(l.changes, fleet.Later(changes, after.Number())...)
-	if more := len(l.changes) - maxLogged; more > 0 {
-		l.from = l.from.At(l.changes[more-1].Revision)
-		l.changes = slices.Clone(l.changes[more:])
+	if excess := len(l.changes) - maxLoggedChanges; excess > 0 {
+		l.base = l.base.At(l.changes[excess-1].Revision)
+		l.changes = slices.Clone(l.changes[excess:])
 	}
 }
 
-// since gives a value as changes since a revision, if they are asked for, known and short, and
-// else as it is. The caller holds the lock.
-func (s *Store) since(v Value, after revision.ID, changes bool) Value {
-	v.Certain = s.certain(v.Name)
-	known := after != 0 && s.log.from != 0 && after >= s.log.from && after.Epoch() == v.Revision.Epoch()
-	if !changes || v.Name != Fleet || !known {
+// asChanges returns the value as changes since a revision, if allowChanges is set, the log covers
+// that revision and the changes are short enough. Otherwise it returns the value in full. The
+// caller holds the lock.
+func (s *Store) asChanges(v Value, after revision.ID, allowChanges bool) Value {
+	v.Certain = s.isCertain(v.Name)
+	logged := after != 0 && s.log.base != 0 && after >= s.log.base && after.Epoch() == v.Revision.Epoch()
+	if !allowChanges || v.Name != Fleet || !logged {
 		return v
 	}
 	data, err := fleet.EncodeChanges(fleet.Later(s.log.changes, after.Number()))
-	if err != nil || float64(len(data)) > maxShare*float64(len(v.Content)) {
+	if err != nil || float64(len(data)) > maxChangesRatio*float64(len(v.Content)) {
 		return v
 	}
-	v.Sum = xxhash.Sum64(v.Content)
+	v.ContentHash = xxhash.Sum64(v.Content)
 	v.Base, v.Changes, v.Content = after, data, nil
 	return v
 }
 
-// certain reports whether the newest value by name is known to be written in its era. The caller
-// holds the lock.
-func (s *Store) certain(name string) bool {
+// isCertain reports whether the newest value of this name is known to have been written in its
+// era. The caller holds the lock.
+func (s *Store) isCertain(name string) bool {
 	if name == Table {
 		return s.table.Certain()
 	}
 	return s.fleet.Certain()
 }
 
-// patch makes a whole value of changes. It can't if they begin after what is known here, or if
-// the result isn't what the sender has: then the whole value is needed. The caller holds the
-// lock.
+// patch turns a value that came as changes into a full one. It reports false if the value is not
+// newer than the one held here. It also reports false, and requests the full value, if the
+// changes can't be decoded, apply to a later revision or another epoch, or give a content whose
+// hash differs from the sender's. The caller holds the lock.
 func (s *Store) patch(v Value) (Value, bool) {
-	before := s.raw[v.Name]
-	if v.Revision <= before.Revision {
+	current := s.newest[v.Name]
+	if v.Revision <= current.Revision {
 		return v, false
 	}
 	changes, err := fleet.DecodeChanges(v.Changes)
-	if err != nil || v.Base > before.Revision || v.Base.Epoch() != before.Revision.Epoch() || v.Name != Fleet {
-		s.whole = true
+	if err != nil || v.Base > current.Revision || v.Base.Epoch() != current.Revision.Epoch() || v.Name != Fleet {
+		s.needsFullFleet = true
 		return v, false
 	}
-	v.Content, err = fleet.Patch(before.Content, before.Revision.Number(), changes)
-	if err != nil || xxhash.Sum64(v.Content) != v.Sum {
-		s.whole = true
+	v.Content, err = fleet.Patch(current.Content, current.Revision.Number(), changes)
+	if err != nil || xxhash.Sum64(v.Content) != v.ContentHash {
+		s.needsFullFleet = true
 		return v, false
 	}
 	return v, true
--- a/internal/published/pacing.go
+++ b/internal/published/pacing.go
@@ -6,60 +6,62 @@
 	"github.com/bridgehoist/bridgehoist/pkg/register"
 )
 
-// Putting a list of endpoints into force takes work for each endpoint, however little of it has
-// changed, and lists change the more often the more endpoints there are. Lists are therefore put
-// into force no faster than in proportion to their length, so that the share of time that they
-// take doesn't grow with the fleet. What comes meanwhile is known and passed on, and comes into
-// force together.
+// Applying a fleet list costs work for every endpoint, however few of them have changed, and the
+// more endpoints there are, the more often the list changes. The interval between two applied
+// lists is therefore proportional to the length of the list, so that the share of time spent on
+// applying lists doesn't grow with the fleet. Lists that arrive during the interval are recorded
+// and passed on to peers; the newest of them is applied at its end.
 
-// pacing tells when the next list of endpoints may come into force.
-type pacing struct {
-	each, most time.Duration
-	next       time.Time
-	// deferred says that a newer list than the one in force is known.
-	deferred bool
-	source   string
+// applyPacer limits the rate at which fleet lists come into force.
+type applyPacer struct {
+	intervalPerEndpoint, maxInterval time.Duration
+	nextApply                        time.Time
+	// deferred is set while a list newer than the one in force is waiting.
+	deferred       bool
+	deferredSource string
 }
 
-// applied notes that a list of so many endpoints has come into force.
-func (p *pacing) applied(now time.Time, endpoints int) {
+// recordApplied starts the interval that follows the application of a list with this many
+// endpoints.
+func (p *applyPacer) recordApplied(now time.Time, endpoints int) {
 	p.deferred = false
-	p.next = now.Add(min(time.Duration(endpoints)*p.each, p.most))
+	p.nextApply = now.Add(min(time.Duration(endpoints)*p.intervalPerEndpoint, p.maxInterval))
 }
 
-// defers keeps a newer list until it may come into force, and reports whether it has to wait. A
-// list counts as known since the first that waited with it. The caller holds the lock.
-func (s *Store) defers(now time.Time, v *Value, source string) bool {
-	waits := s.paced.deferred
-	if waits && s.raw[Fleet].Since.Before(v.Since) {
-		v.Since = s.raw[Fleet].Since
+// deferFleet stores a newer list if it may not come into force yet, and reports whether it did. A
+// list that follows a deferred one takes over the earlier FirstReadAt. The caller holds the lock.
+func (s *Store) deferFleet(now time.Time, v *Value, source string) bool {
+	alreadyDeferred := s.pacer.deferred
+	if alreadyDeferred && s.newest[Fleet].FirstReadAt.Before(v.FirstReadAt) {
+		v.FirstReadAt = s.newest[Fleet].FirstReadAt
 	}
-	if !now.Before(s.paced.next) {
+	if !now.Before(s.pacer.nextApply) {
 		return false
 	}
-	s.note(*v)
-	s.raw[Fleet] = *v
-	s.paced.deferred, s.paced.source = true, source
-	if !waits && s.onDeferred != nil {
-		s.onDeferred(s.paced.next)
+	s.recordChanges(*v)
+	s.newest[Fleet] = *v
+	s.pacer.deferred, s.pacer.deferredSource = true, source
+	if !alreadyDeferred && s.onDeferred != nil {
+		s.onDeferred(s.pacer.nextApply)
 	}
 	return true
 }
 
-// Due is when ApplyDue has to be called next; ok is false while nothing waits for it.
-func (s *Store) Due() (at time.Time, ok bool) {
+// DeferredUntil returns the time at which ApplyDeferred has to be called; ok is false if no list
+// is deferred.
+func (s *Store) DeferredUntil() (until time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.paced.next, s.paced.deferred
+	return s.pacer.nextApply, s.pacer.deferred
 }
 
-// ApplyDue puts the newest list of endpoints into force that had to wait until now.
-func (s *Store) ApplyDue(now time.Time) {
+// ApplyDeferred puts the deferred fleet list into force if its time has come.
+func (s *Store) ApplyDeferred(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.paced.deferred || now.Before(s.paced.next) {
+	if !s.pacer.deferred || now.Before(s.pacer.nextApply) {
 		return
 	}
-	s.paced.deferred = false
-	s.apply(now, s.raw[Fleet], s.paced.source, register.ToldCertain)
+	s.pacer.deferred = false
+	s.applyLocked(now, s.newest[Fleet], s.pacer.deferredSource, register.ToldCertain)
 }
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -1,6 +1,9 @@
-// Package published keeps the platform's values in force at an entry: the
-// table and the fleet list. Values come from the platform and from peers; each
-// goes through a register that never goes back.
+// Package published holds the values that the platform publishes to an entry: the table and the
+// fleet list. Values come from the platform's store and from peers. Each goes through a register
+// (see package register), so that a value in force is never replaced by an older one.
+//
+// A fleet list can be exchanged as a delta against an earlier revision, and the rate at which
+// fleet lists come into force is limited; see applyPacer.
 package published
 
 import (
@@ -15,59 +18,63 @@
 
 // Names of the published values.
 const (
-	// Table is the operators' table.
+	// Table is the routing table that the operators maintain.
 	Table = "table"
-	// Fleet is the list of endpoints, and of VMs and workspaces where the platform
+	// Fleet is the fleet list: the endpoints, and also the VMs and workspaces where the platform
 	// publishes these.
 	Fleet = "fleet"
 )
 
-// Value is one published value. Its content is in the platform's format.
+// Value is one revision of a published value. Its content is in the platform's format.
 type Value struct {
 	Name     string
 	Revision revision.ID
-	// Content is the whole value; nil if only Changes are given.
+	// Content is the full value; nil if only Changes are given.
 	Content []byte
-	// Base, unless it is zero, is the revision after which Changes, encoded changes of the
-	// registry of endpoints, lead to this value.
+	// Base, if not zero, is the revision to which Changes apply; the result is this value.
+	// Changes are encoded records of the endpoint registry.
 	Base    revision.ID
 	Changes []byte
-	// Sum is a hash of the whole value, where only Changes are given.
-	Sum uint64
-	// Since is when the first entry read it, by this process's clock, as far as is
-	// known; zero is now.
-	Since time.Time
-	// Certain, of a value that is told, says that it was written in the era of its revision;
-	// see package register.
+	// ContentHash is the xxHash64 of the full value; set only if Content is nil.
+	ContentHash uint64
+	// FirstReadAt is when the first entry read the value from the platform, as far as is known,
+	// by this process's clock. Zero means now.
+	FirstReadAt time.Time
+	// Certain means, on a value exchanged with a peer, that it was certainly written in the era
+	// of its revision, and not copied from an earlier era by a restore; see package register.
 	Certain bool
 }
 
-// Parsers read the contents of the values.
-type Parsers struct {
-	// Settle is for how long values have to stand after a restore of the platform's store to be
-	// certain, where only revisions order them; see package register.
-	Settle time.Duration
-	// Pace is the least time, for each endpoint, from putting one list of endpoints into force to
-	// the next, and MaxPace bounds it. Without it each list comes into force at once.
-	Pace, MaxPace time.Duration
-	Table         func([]byte) (*table.Table, error)
-	Fleet         func([]byte) (*fleet.List, error)
+// Config holds the parsers of the values and the settings of a Store.
+type Config struct {
+	// SettlePeriod is how long a value must remain in the platform's store after a restore of
+	// that store until it counts as certain. It applies where only revisions order the values;
+	// see package register.
+	SettlePeriod time.Duration
+	// ApplyIntervalPerEndpoint times the number of endpoints in the list is the minimum interval
+	// between two fleet lists coming into force, capped at MaxApplyInterval. Zero applies each
+	// list at once.
+	ApplyIntervalPerEndpoint, MaxApplyInterval time.Duration
+	ParseTable                                 func([]byte) (*table.Table, error)
+	ParseFleet                                 func([]byte) (*fleet.List, error)
 }
 
-// settle is longer than publishers take to write again what a restored store has lost, and
-// shorter than the time within which a table must be in force.
-const settle = 5 * time.Second
+// nativeSettlePeriod is longer than publishers take to rewrite what a restored store has lost,
+// and shorter than the time within which a table must be in force.
+const nativeSettlePeriod = 5 * time.Second
 
-// OwnParsers read the system's own formats: CSV and JSON.
-func OwnParsers() Parsers {
-	return Parsers{
-		Settle: settle,
-		Table:  func(b []byte) (*table.Table, error) { return table.Parse(Table, b) },
-		Fleet:  func(b []byte) (*fleet.List, error) { return fleet.Parse(Fleet, b) },
+// NativeConfig returns the configuration for the system's own formats: CSV for the table and JSON
+// for the fleet list.
+func NativeConfig() Config {
+	return Config{
+		SettlePeriod: nativeSettlePeriod,
+		ParseTable:   func(b []byte) (*table.Table, error) { return table.Parse(Table, b) },
+		ParseFleet:   func(b []byte) (*fleet.List, error) { return fleet.Parse(Fleet, b) },
 	}
 }
 
-// Event tells of an offered value that changed something, was bad, or was ignored as older.
+// Event reports an offered value that was adopted, rejected, in conflict, newly pending or, if it
+// came in full, newly ignored as stale.
 type Event struct {
 	Name     string
 	Revision revision.ID
@@ -76,92 +83,95 @@
 	Findings error
 }
 
-// Store holds the values. It is safe for concurrent use.
+// Store holds the published values. It is safe for concurrent use.
 type Store struct {
 	mu    sync.Mutex
 	table *register.Register[*table.Table]
 	fleet *register.Register[*fleet.List]
-	raw   map[string]Value
-	// pending are the values that are in doubt, by name.
+	// newest holds, by name, the newest value seen, whether it is in force, deferred or rejected.
+	newest map[string]Value
+	// pending holds, by name, values that may be older than the one in force.
 	pending map[string]pendingValue
-	// stale is the newest revision by name that was ignored as older than another.
-	stale map[string]revision.ID
-	log   changeLog
-	// whole says that what is known of the fleet differs from what others know, so that the
-	// whole value is needed.
-	whole bool
-	paced pacing
-	// onDeferred, if set, is called when a list begins to wait until ApplyDue.
-	onDeferred func(at time.Time)
+	// reportedStale holds, by name, the stale revision that was last reported, so that each is
+	// reported once.
+	reportedStale map[string]revision.ID
+	log           changeLog
+	// needsFullFleet is set when received changes didn't fit the fleet list held here; the full
+	// list is then requested from peers.
+	needsFullFleet bool
+	pacer          applyPacer
+	// onDeferred, if set, is called when a fleet list is deferred until ApplyDeferred is due.
+	onDeferred func(until time.Time)
 	onEvent    func(Event)
-	onFleet    func(list *fleet.List, since time.Time)
+	onFleet    func(list *fleet.List, firstReadAt time.Time)
 }
 
-// New makes an empty store. onEvent is told of adoptions, rejections, conflicts, values in
-// doubt and whole values that were ignored as older; onFleet of each new fleet list.
-func New(p Parsers, onEvent func(Event), onFleet func(list *fleet.List, since time.Time)) *Store {
+// New returns an empty store. onEvent is called for each Event, and onFleet for each fleet list
+// that comes into force. Both are called with the store's lock held.
+func New(cfg Config, onEvent func(Event), onFleet func(list *fleet.List, firstReadAt time.Time)) *Store {
 	return &Store{
-		table:   register.NewSettling(p.Table, p.Settle),
-		fleet:   register.NewSettling(p.Fleet, p.Settle),
-		pending: map[string]pendingValue{},
-		raw:     map[string]Value{},
-		paced:   pacing{each: p.Pace, most: p.MaxPace},
-		stale:   map[string]revision.ID{},
-		onEvent: onEvent,
-		onFleet: onFleet,
+		table:         register.NewSettling(cfg.ParseTable, cfg.SettlePeriod),
+		fleet:         register.NewSettling(cfg.ParseFleet, cfg.SettlePeriod),
+		pending:       map[string]pendingValue{},
+		newest:        map[string]Value{},
+		pacer:         applyPacer{intervalPerEndpoint: cfg.ApplyIntervalPerEndpoint, maxInterval: cfg.MaxApplyInterval},
+		reportedStale: map[string]revision.ID{},
+		onEvent:       onEvent,
+		onFleet:       onFleet,
 	}
 }
 
-// OnDeferred sets what is called when a list of endpoints begins to wait; ApplyDue has to be called
-// at the given time then.
-func (s *Store) OnDeferred(call func(at time.Time)) { s.onDeferred = call }
+// OnDeferred sets the callback for a fleet list that is deferred. ApplyDeferred must be called at
+// the time that the callback is given.
+func (s *Store) OnDeferred(onDeferred func(until time.Time)) { s.onDeferred = onDeferred }
 
-// Offer gives the store a value that a peer has told.
-func (s *Store) Offer(now time.Time, v Value, source string) register.Verdict {
+// OfferFromPeer offers a value that was received from a peer.
+func (s *Store) OfferFromPeer(now time.Time, v Value, source string) register.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := register.Told
+	origin := register.Told
 	if v.Certain {
-		from = register.ToldCertain
+		origin = register.ToldCertain
 	}
-	return s.take(now, v, source, from)
+	return s.offerLocked(now, v, source, origin)
 }
 
-// OfferRead gives the store a value that was read from the platform just now.
-func (s *Store) OfferRead(now time.Time, v Value, source string) register.Verdict {
+// OfferFromStore offers a value that has just been read from the platform's store.
+func (s *Store) OfferFromStore(now time.Time, v Value, source string) register.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.take(now, v, source, register.Read)
+	return s.offerLocked(now, v, source, register.Read)
 }
 
-// Settle tells that the platform has been read, and that all news has been offered. Values that
-// have stood for long enough are taken.
+// Settle records that the platform's store has been read and that all its changes have been
+// offered. It adopts pending values that have remained in the store for the settle period.
 func (s *Store) Settle(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, certain := s.table.Settle(now)
-	s.settle(now, Table, at, certain)
-	at, certain = s.fleet.Settle(now)
-	s.settle(now, Fleet, at, certain)
+	rev, certain := s.table.Settle(now)
+	s.adoptSettled(now, Table, rev, certain)
+	rev, certain = s.fleet.Settle(now)
+	s.adoptSettled(now, Fleet, rev, certain)
 }
 
-// settle takes the value that is pending by name if its register is certain of it.
-func (s *Store) settle(now time.Time, name string, at revision.ID, certain bool) {
-	if p := s.pending[name]; certain && p.Revision == at {
-		s.take(now, p.Value, p.source, register.ToldCertain)
+// adoptSettled adopts the pending value of this name if the register is certain of its revision.
+func (s *Store) adoptSettled(now time.Time, name string, rev revision.ID, certain bool) {
+	if p := s.pending[name]; certain && p.Revision == rev {
+		s.offerLocked(now, p.Value, p.source, register.ToldCertain)
 	}
 }
 
-// pendingValue is a value in doubt, and who gave it.
+// pendingValue is a pending value and the source that offered it.
 type pendingValue struct {
 	Value
 	source string
 }
 
-// take offers a value to its register; the caller holds the lock.
-func (s *Store) take(now time.Time, v Value, source string, from register.Evidence) register.Verdict {
-	if v.Since.IsZero() {
-		v.Since = now
+// offerLocked offers a value to its register. It first applies changes to the value held here,
+// and defers a fleet list that comes too early. The caller holds the lock.
+func (s *Store) offerLocked(now time.Time, v Value, source string, origin register.Evidence) register.Verdict {
+	if v.FirstReadAt.IsZero() {
+		v.FirstReadAt = now
 	}
 	if v.Content == nil && v.Base > 0 {
 		var patched bool
@@ -170,43 +180,44 @@
 		}
 	}
 	if v.Name == Fleet {
-		// It has come whole, or fits what others have.
-		s.whole = false
-		if s.paced.deferred && v.Revision <= s.raw[Fleet].Revision {
+		// The value came in full, or its changes fit the list held here.
+		s.needsFullFleet = false
+		if s.pacer.deferred && v.Revision <= s.newest[Fleet].Revision {
 			return register.Known
 		}
-		if v.Revision > s.raw[Fleet].Revision && s.defers(now, &v, source) {
+		if v.Revision > s.newest[Fleet].Revision && s.deferFleet(now, &v, source) {
 			return register.Deferred
 		}
 	}
-	return s.apply(now, v, source, from)
+	return s.applyLocked(now, v, source, origin)
 }
 
-// apply offers a whole value to its register, and tells what came of it. The caller holds the lock.
-func (s *Store) apply(now time.Time, v Value, source string, from register.Evidence) register.Verdict {
-	verdict, err := s.offer(now, v, from)
-	if (verdict == register.Adopted || verdict == register.Rejected) && v.Revision > s.raw[v.Name].Revision {
-		s.note(v)
-		s.raw[v.Name] = v
+// applyLocked offers a full value to its register and reports the result. The caller holds the
+// lock.
+func (s *Store) applyLocked(now time.Time, v Value, source string, origin register.Evidence) register.Verdict {
+	verdict, err := s.offerToRegister(now, v, origin)
+	if (verdict == register.Adopted || verdict == register.Rejected) && v.Revision > s.newest[v.Name].Revision {
+		s.recordChanges(v)
+		s.newest[v.Name] = v
 	}
-	news := s.setPending(v, verdict, source)
+	newlyPending := s.updatePending(v, verdict, source)
 	if verdict == register.Adopted && v.Name == Fleet {
-		s.paced.applied(now, len(s.fleet.Current().Value.Endpoints))
-		s.onFleet(s.fleet.Current().Value, v.Since)
+		s.pacer.recordApplied(now, len(s.fleet.Current().Value.Endpoints))
+		s.onFleet(s.fleet.Current().Value, v.FirstReadAt)
 	}
-	if verdict == register.Adopted || verdict == register.Rejected || verdict == register.Conflict || news || s.staleNews(v, verdict) {
+	if verdict == register.Adopted || verdict == register.Rejected || verdict == register.Conflict || newlyPending || s.newlyStale(v, verdict) {
 		s.onEvent(Event{v.Name, v.Revision, source, verdict, err})
 	}
 	return verdict
 }
 
-// setPending keeps a value that is in doubt, until another is decided on, and reports whether
-// that is news. The caller holds the lock.
-func (s *Store) setPending(v Value, verdict register.Verdict, source string) (news bool) {
+// updatePending stores a pending value, or removes the stored one once a value as new or newer is
+// decided on. It reports whether the value is newly pending. The caller holds the lock.
+func (s *Store) updatePending(v Value, verdict register.Verdict, source string) (newlyPending bool) {
 	if verdict == register.Pending {
-		news = s.pending[v.Name].Revision != v.Revision
+		newlyPending = s.pending[v.Name].Revision != v.Revision
 		s.pending[v.Name] = pendingValue{v, source}
-		return news
+		return newlyPending
 	}
 	if verdict == register.Adopted || v.Revision >= s.pending[v.Name].Revision {
 		delete(s.pending, v.Name)
@@ -214,22 +225,22 @@
 	return false
 }
 
-// staleNews reports whether a value was ignored as older than another one that is known, and
-// hasn't been told of yet. The caller holds the lock.
-func (s *Store) staleNews(v Value, verdict register.Verdict) bool {
-	if verdict != register.Stale || s.stale[v.Name] == v.Revision {
+// newlyStale reports whether a value was ignored as stale and its revision has not been reported
+// yet. The caller holds the lock.
+func (s *Store) newlyStale(v Value, verdict register.Verdict) bool {
+	if verdict != register.Stale || s.reportedStale[v.Name] == v.Revision {
 		return false
 	}
-	s.stale[v.Name] = v.Revision
+	s.reportedStale[v.Name] = v.Revision
 	return true
 }
 
-func (s *Store) offer(now time.Time, v Value, from register.Evidence) (register.Verdict, error) {
+func (s *Store) offerToRegister(now time.Time, v Value, origin register.Evidence) (register.Verdict, error) {
 	switch v.Name {
 	case Table:
-		return s.table.Offer(now, v.Revision, v.Content, from)
+		return s.table.Offer(now, v.Revision, v.Content, origin)
 	case Fleet:
-		return s.fleet.Offer(now, v.Revision, v.Content, from)
+		return s.fleet.Offer(now, v.Revision, v.Content, origin)
 	default:
 		return register.Known, nil
 	}
@@ -244,53 +255,56 @@
 // Ready reports whether both values are in force.
 func (s *Store) Ready() bool { return s.Table() != nil && s.Fleet() != nil }
 
-// Seen returns the highest revision seen per value, bad ones included. One that is needed
-// whole counts as not seen.
-func (s *Store) Seen() map[string]revision.ID {
+// SeenRevisions returns the highest revision seen of each value, including values that failed
+// their check. It omits the fleet list while the full list is needed, so that peers send it in
+// full.
+func (s *Store) SeenRevisions() map[string]revision.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]revision.ID{}
-	for name, v := range s.raw {
-		if name != Fleet || !s.whole {
-			out[name] = v.Revision
+	revisions := map[string]revision.ID{}
+	for name, v := range s.newest {
+		if name != Fleet || !s.needsFullFleet {
+			revisions[name] = v.Revision
 		}
 	}
-	return out
+	return revisions
 }
 
-// Newer returns the values seen that are newer than the given revisions, as changes where
-// that is asked for and possible. Bad ones are passed on too: each entry checks and counts
-// them for itself.
-func (s *Store) Newer(than map[string]revision.ID, changes bool) []Value {
+// NewerThan returns the values that are newer than the given revisions, as changes where
+// allowChanges is set and changes are available. Values that failed their check are included:
+// each entry checks and counts them itself.
+func (s *Store) NewerThan(revisions map[string]revision.ID, allowChanges bool) []Value {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []Value
-	for name, v := range s.raw {
-		if v.Revision > than[name] {
-			out = append(out, s.since(v, than[name], changes))
+	var values []Value
+	for name, v := range s.newest {
+		if v.Revision > revisions[name] {
+			values = append(values, s.asChanges(v, revisions[name], allowChanges))
 		}
 	}
-	return out
+	return values
 }
 
-// Get returns the newest value seen by name.
+// Get returns the newest value seen of this name, in full.
 func (s *Store) Get(name string) (Value, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.raw[name]
+	v, ok := s.newest[name]
 	return v, ok
 }
 
-// Since returns the newest value seen by name, as changes since a revision if that is possible.
-func (s *Store) Since(name string, after revision.ID) (Value, bool) {
+// GetAsChanges returns the newest value seen of this name, as changes since a revision where
+// these are available.
+func (s *Store) GetAsChanges(name string, after revision.ID) (Value, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.raw[name]
-	return s.since(v, after, true), ok
+	v, ok := s.newest[name]
+	return s.asChanges(v, after, true), ok
 }
 
-// Findings returns what was wrong with the newest bad table, if any.
-func (s *Store) Findings() (at revision.ID, err error) {
+// TableFindings returns why the newest rejected table failed its check, with its revision; the
+// error is nil if there is none.
+func (s *Store) TableFindings() (rev revision.ID, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Findings()
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -205,9 +205,9 @@
 mutant "pauses: moved generations don't wait" internal/relay/pass.go 's/^\tp.awaitPause(ctx, h.Target)$/\t_ = p.awaitPause/' "./internal/gateway -run Pause"
 mutant "leaves: not taken from answers" internal/gateway/asks.go 's/if a.Leaving {/if false {/' "./internal/gateway -run Leav"
 mutant "leaves: forgotten with the record" pkg/drain/drain.go 's/if !told || now.Sub(s.unlisted\[e\]) >= UnlistedFor {/if told || !told {/' ./pkg/drain
-mutant "changes of the list: another result believed" internal/published/changes.go 's/ || xxhash.Sum64(v.Content) != v.Sum//' ./internal/published
-mutant "changes of the list: the whole never asked for" internal/published/published.go 's/if name != Fleet || !s.whole {/if true {/' ./internal/published
-mutant "changes of the list: always the whole" internal/published/changes.go 's/^\tif !changes || v.Name != Fleet/\tif true || v.Name != Fleet/' ./internal/published
+mutant "changes of the list: another result believed" internal/published/changes.go 's/ || xxhash.Sum64(v.Content) != v.ContentHash//' ./internal/published
+mutant "changes of the list: the whole never asked for" internal/published/published.go 's/if name != Fleet || !s.needsFullFleet {/if true {/' ./internal/published
+mutant "changes of the list: always the whole" internal/published/changes.go 's/^\tif !allowChanges || v.Name != Fleet/\tif true || v.Name != Fleet/' ./internal/published
 mutant "changes of the list: records of the list before in another's place" platform/published.go 's/if bytes.Equal(p.elements\[i\], element) {/if len(p.elements[i]) == len(element) {/' ./platform
 
 R="./internal/gateway -run AfterARestore"
@@ -222,9 +222,9 @@
 mutant "restores: a list of a later era that is the same is no news" pkg/fleet/registry.go 's/if at.Era() == r.revision.Era() \&\& maps/if maps/' ./pkg/fleet
 mutant "restores: values in doubt taken at once" pkg/register/register.go 's/ || now.Sub(r.doubtedAt) < r.settle//' "./pkg/register ./internal/published -run Restore"
 mutant "restores: values in doubt never taken" pkg/register/register.go 's/now.Sub(r.doubtedAt) < r.settle/now.After(r.doubtedAt)/' ./pkg/register
-mutant "restores: values in doubt not looked at again" internal/published/published.go 's/if p := s.pending\[name\]; certain/if p := s.pending[name]; !certain/' "./internal/published -run Doubt"
+mutant "restores: values in doubt not looked at again" internal/published/published.go 's/if p := s.pending\[name\]; certain/if p := s.pending[name]; !certain/' "./internal/published -run Pending"
 mutant "restores: what is told counts as read" pkg/register/register.go 's/if from == Read \&\& r.doubtedAt/if r.doubtedAt/' ./pkg/register
-mutant "restores: whatever is told is certain" internal/published/published.go 's/if v.Certain {/if true {/' "./internal/published -run Own"
+mutant "restores: whatever is told is certain" internal/published/published.go 's/if v.Certain {/if true {/' "./internal/published -run NativeTables"
 mutant "restores: certainty isn't passed on" internal/peering/convert.go 's/Certain: d.GetCertain()}/Certain: false}/' "./internal/peering -run Certain"
 mutant "restores: what had left is used" pkg/fleet/restored.go 's/if r.out\[e.Life()\] {/if false {/' "./pkg/fleet ./internal/gateway -run AnEndpointGone"
 mutant "restores: most of a target kept out" pkg/fleet/restored.go 's/return left\[t\] > mostLeft\*inUse\[t\]/return false/' ./pkg/fleet
@@ -236,8 +236,8 @@
 mutant "restores: a watch beyond what the store has goes on" platform/store.go 's/at < since.Number()/at < 1/' "./platform -run TestAWatchBeyond"
 mutant "store: nobody stands in for watchers that lost it" internal/controllers/config.go 's/above < 2\*Watchers && reading < Watchers/false/' "./internal/gateway -run WatchersAreCutOff"
 mutant "store: a lost store is not declared" internal/gateway/beliefs.go 's/g.beliefs.SetStoreLost(!up)/_ = up/' "./internal/gateway -run WatchersAreCutOff"
-mutant "lists: each comes into force at once" internal/published/pacing.go 's/if !now.Before(s.paced.next) {/if true {/' "./internal/published -run Lists"
-mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(before.Content, v.Content, v.Revision.Number())/return nil, errNoChanges/' "./internal/published -run Whole"
+mutant "lists: each comes into force at once" internal/published/pacing.go 's/if !now.Before(s.pacer.nextApply) {/if true {/' "./internal/published -run NotQuadratic"
+mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(previous.Content, v.Content, v.Revision.Number())/return nil, errChangesUnknown/' "./internal/published -run FullList"
 mutant "reads: idle engines read as often as others" internal/peering/homes.go 's/case !b.stillIdle(now, e.Life()):/default:/' "./internal/peering -run Reads"
 mutant "reads: told prompts do not end idleness" pkg/scheduler/remote.go 's/e.ownRunning == 0 \&\& e.peersRunning == 0 \&\& s.unreadOf(now, e) == 0/e.ownRunning == 0/' "./internal/peering -run Idle"
 mutant "lists: what waits is not passed on" internal/gateway/beliefs.go 's/^\tg.applyLater(until)$/\tg.applyLater(until)\n\tselect {\n\tcase <-g.exchange.Kicked:\n\tdefault:\n\t}/' "./internal/gateway -run ListThatWaits"
