--- a/internal/gateway/tell.go
+++ b/internal/gateway/tell.go
@@ -18,10 +18,10 @@
 	if g.notices == nil || g.cfg.Without.has(mechNotices) {
 		return func() {}
 	}
-	p := g.notices.Sent(to.DataCenter, peering.LifeHash(to.Life()), promptTokens)
-	g.metrics.Notices.WithLabelValues("told").Add(float64(p.Told))
-	g.metrics.Notices.WithLabelValues("left_out").Add(float64(p.Left))
-	return p.Read
+	p := g.notices.AnnouncePrompt(to.DataCenter, peering.LifeHash(to.Life()), promptTokens)
+	g.metrics.Notices.WithLabelValues("told").Add(float64(p.Notified))
+	g.metrics.Notices.WithLabelValues("left_out").Add(float64(p.Skipped))
+	return p.AnnouncePrefilled
 }
 
 // onPrompt takes the news that another entry has sent a prompt to an engine.
@@ -42,7 +42,7 @@
 	if g.notices == nil || g.small.Load() || g.cfg.Without.has(mechLoadNews) {
 		return
 	}
-	told := g.notices.TellLoads(g.vm.DataCenter, g.beliefs.Loads(rand.IntN), rand.IntN)
+	told := g.notices.AnnounceLoads(g.vm.DataCenter, g.beliefs.Loads(rand.IntN), rand.IntN)
 	g.metrics.Notices.WithLabelValues("loads_told").Add(float64(told))
 }
 
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -1,15 +1,16 @@
-// Package notices tells other entries what they need at once and may miss: of each prompt
-// the entries of the engine's data centre, and now and then an entry of each other data
-// centre of the load of the engines in the own.
+// Package notices sends unreliable UDP notices between entries: the prompts sent to an engine, to
+// the entries of the engine's data centre, and the load of the local engines, periodically to one
+// entry of each other data centre.
 //
-// Load reports are half a second old when they are read, and the exchange adds as
-// much. A prompt is read within that time, so entries that go by reports all send to
-// the engine that was idle a second ago. A notice is one small datagram to each entry
-// of the data centre. Nothing depends on it: a lost one leaves the engine looking a
-// little emptier, a forged one makes it look fuller for some seconds.
+// Load reports are half a second old when they are read, and the exchange between entries adds as
+// much. An engine prefills a prompt within that time, so that entries which rely on reports alone
+// all send to the engine that was idle a second ago. A notice is one small datagram to each entry
+// of the data centre. Nothing depends on its delivery: after a lost notice an engine looks
+// slightly less loaded than it is, and a forged one makes it look more loaded for some seconds.
 //
-// Telling entries of other data centres of each prompt would take as many datagrams as
-// there are entries. They are told of loads instead, each by whoever picks it.
+// Announcing each prompt to the entries of other data centres would take as many datagrams as
+// there are entries. These entries receive the engines' loads instead, one randomly picked entry
+// per data centre at a time.
 package notices
 
 import (
@@ -29,29 +30,31 @@
 )
 
 const (
-	// maxPerSecond bounds the datagrams of a second that tell of sent prompts, whatever the
-	// load; as many may follow when they are read. With 60 entries in a data centre and 0.6
-	// prompts a second and entry they are 33 on average, 66 with the reads, 4 of the 15 KB/s
-	// that control may take (letter 1); the bound lets three prompts of a second be told.
-	maxPerSecond = 200
-	// maxBytes bounds a datagram, so that none is split on the way; the notice of a prompt
-	// has about ten, and an engine's load about twelve.
-	maxBytes = 1400
-	// maxTokens bounds what one notice is believed.
-	maxTokens = 1 << 17
+	// maxPromptNoticesPerSecond bounds the datagrams per second that announce sent prompts,
+	// whatever the load; as many may follow to announce their prefill. With 60 entries in a data
+	// centre and 0.6 prompts a second per entry there are 33 a second on average, 66 with the
+	// prefill notices, which takes 4 of the 15 KB/s allowed for control traffic. The bound allows
+	// three prompts per second to be announced to all of the 60 entries.
+	maxPromptNoticesPerSecond = 200
+	// maxDatagramBytes bounds a datagram so that it isn't fragmented. A prompt notice takes about
+	// ten bytes, and the load of an engine about twelve.
+	maxDatagramBytes = 1400
+	// maxNoticeTokens caps the tokens accepted from one notice.
+	maxNoticeTokens = 1 << 17
 )
 
 // Config holds the settings of a Notifier.
 type Config struct {
-	// Listen is the IP and UDP port.
+	// Listen is the IP address and UDP port to listen on.
 	Listen string
-	// OnPrompt is told of each prompt that another entry has sent to an engine, named
-	// by the hash of its life, and OnRead when the engine has read it.
-	OnPrompt func(lifeHash uint32, tokens int)
-	OnRead   func(lifeHash uint32, tokens int)
-	// OnLoads is told of the loads of the engines of another data centre.
+	// OnPromptSent is called for each prompt that another entry has sent to an engine, and
+	// OnPromptPrefilled when the engine has processed it. The engine is identified by the hash of
+	// its instance.
+	OnPromptSent      func(instanceHash uint32, tokens int)
+	OnPromptPrefilled func(instanceHash uint32, tokens int)
+	// OnLoads is called with the loads of the engines of another data centre.
 	OnLoads func(*peerv1.Loads)
-	// Now is the clock that the bound on the datagrams goes by.
+	// Now is the clock for the rate limit of prompt notices.
 	Now func() time.Time
 	Log *log.Logger
 }
@@ -62,16 +65,17 @@
 	conn *net.UDPConn
 
 	mu sync.Mutex
-	// peers are the notice addresses of the other entries by data centre.
+	// peers holds the notice addresses of the other entries by data centre.
 	peers map[string][]netip.AddrPort
-	// everyone lists them all if all are told of everything.
-	everyone []netip.AddrPort
-	// second and sent count the datagrams of the running second.
-	second int64
-	sent   int
+	// broadcastPeers lists the addresses of all peers while every prompt is announced to all of
+	// them; nil otherwise.
+	broadcastPeers []netip.AddrPort
+	// sentInSecond counts the prompt notices sent in currentSecond, a Unix time.
+	currentSecond int64
+	sentInSecond  int
 }
 
-// New listens for notices.
+// New opens the socket for notices.
 func New(cfg Config) (*Notifier, error) {
 	address, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -84,70 +88,72 @@
 	return &Notifier{cfg: cfg, conn: conn}, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the notifier listens on.
 func (n *Notifier) Address() netip.AddrPort {
 	return n.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// SetPeers replaces the addresses of the other entries, by data centre. With tellAll
-// every entry is told of every prompt, which a small fleet can afford: its entries
-// send to the engines of all data centres.
-func (n *Notifier) SetPeers(peers map[string][]netip.AddrPort, tellAll bool) {
+// SetPeers replaces the addresses of the other entries, by data centre. With broadcast every
+// prompt is announced to every entry, which a small fleet can afford, as its entries send to the
+// engines of all data centres.
+func (n *Notifier) SetPeers(peers map[string][]netip.AddrPort, broadcast bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers = peers
-	n.everyone = nil
-	if tellAll {
-		n.everyone = slices.Concat(slices.Collect(maps.Values(peers))...)
+	n.broadcastPeers = nil
+	if broadcast {
+		n.broadcastPeers = slices.Concat(slices.Collect(maps.Values(peers))...)
 	}
 }
 
-// Prompt is a prompt that the entries of its engine's data centre were told of.
-type Prompt struct {
-	// Told counts those that were told, and Left those left out to keep to the bound.
-	Told, Left int
+// SentPrompt is a prompt that was announced to peers.
+type SentPrompt struct {
+	// Notified counts the peers that were notified, and Skipped those skipped by the rate limit.
+	Notified, Skipped int
 
-	notifier *Notifier
-	peers    []netip.AddrPort
-	endpoint uint32
-	tokens   uint32
+	notifier     *Notifier
+	peers        []netip.AddrPort
+	instanceHash uint32
+	tokens       uint32
 }
 
-// Sent tells the entries of an engine's data centre that a prompt was sent to it.
-func (n *Notifier) Sent(dataCenter string, lifeHash uint32, tokens int) Prompt {
-	p := Prompt{notifier: n, endpoint: lifeHash, tokens: uint32(max(tokens, 0))}
-	p.peers, p.Left = n.take(dataCenter)
-	p.Told = p.tell(false)
+// AnnouncePrompt announces that a prompt was sent to an engine. Recipients are the entries of the
+// engine's data centre, or all peers if SetPeers was called with broadcast.
+func (n *Notifier) AnnouncePrompt(dataCenter string, instanceHash uint32, tokens int) SentPrompt {
+	p := SentPrompt{notifier: n, instanceHash: instanceHash, tokens: uint32(max(tokens, 0))}
+	p.peers, p.Skipped = n.reserve(dataCenter)
+	p.Notified = p.announce(false)
 	return p
 }
 
-// Read tells those that heard of the prompt that its engine has read it, or never will.
-func (p Prompt) Read() { p.tell(true) }
+// AnnouncePrefilled announces to the same peers that the engine has processed the prompt, or
+// never will.
+func (p SentPrompt) AnnouncePrefilled() { p.announce(true) }
 
-func (p Prompt) tell(read bool) int {
-	notice := &peerv1.PromptNotice{Endpoint: p.endpoint, Tokens: p.tokens, Read: read}
+func (p SentPrompt) announce(prefilled bool) int {
+	notice := &peerv1.PromptNotice{Endpoint: p.instanceHash, Tokens: p.tokens, Read: prefilled}
 	return p.notifier.send(&peerv1.Datagram{Kind: &peerv1.Datagram_Prompt{Prompt: notice}}, p.peers)
 }
 
-// TellLoads tells the loads of the engines of the own data centre to one entry of each
-// other, picked by pick, which gives a number below its argument. It returns how many it
-// told.
-func (n *Notifier) TellLoads(own string, loads *peerv1.Loads, pick func(below int) int) int {
-	var to []netip.AddrPort
+// AnnounceLoads sends the loads of the local data centre's engines to one entry of each other
+// data centre. Function pick chooses the entry: it returns a number from 0 to n-1. AnnounceLoads
+// returns how many entries it sent the loads to.
+func (n *Notifier) AnnounceLoads(localDataCenter string, loads *peerv1.Loads, pick func(n int) int) int {
+	var recipients []netip.AddrPort
 	n.mu.Lock()
 	for dataCenter, peers := range n.peers {
-		if dataCenter != own && len(peers) > 0 {
-			to = append(to, peers[pick(len(peers))])
+		if dataCenter != localDataCenter && len(peers) > 0 {
+			recipients = append(recipients, peers[pick(len(peers))])
 		}
 	}
 	n.mu.Unlock()
-	return n.send(&peerv1.Datagram{Kind: &peerv1.Datagram_Loads{Loads: loads}}, to)
+	return n.send(&peerv1.Datagram{Kind: &peerv1.Datagram_Loads{Loads: loads}}, recipients)
 }
 
-// send sends a datagram to each peer and returns to how many.
-func (n *Notifier) send(d *peerv1.Datagram, peers []netip.AddrPort) (told int) {
+// send sends a datagram to each peer and returns the number of datagrams sent.
+func (n *Notifier) send(d *peerv1.Datagram, peers []netip.AddrPort) (sent int) {
 	data, err := proto.Marshal(d)
-	if err != nil || len(data) > maxBytes {
+	if err != nil || len(data) > maxDatagramBytes {
 		n.cfg.Log.Error("notice not encoded", "bytes", len(data), "error", err)
 		return 0
 	}
@@ -156,33 +162,33 @@
 			n.cfg.Log.Debug("notice not sent", "peer", peer, "error", err)
 			continue
 		}
-		told++
+		sent++
 	}
-	return told
+	return sent
 }
 
-// take returns the peers that may be told within the bound of this second, and how
-// many others there are.
-func (n *Notifier) take(dataCenter string) (peers []netip.AddrPort, left int) {
+// reserve returns the peers that may be notified within this second's limit, counts them as sent,
+// and returns how many others are skipped.
+func (n *Notifier) reserve(dataCenter string) (peers []netip.AddrPort, skipped int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now := n.cfg.Now().Unix(); now != n.second {
-		n.second, n.sent = now, 0
+	if now := n.cfg.Now().Unix(); now != n.currentSecond {
+		n.currentSecond, n.sentInSecond = now, 0
 	}
-	peers = n.everyone
+	peers = n.broadcastPeers
 	if peers == nil {
 		peers = n.peers[dataCenter]
 	}
-	count := min(len(peers), maxPerSecond-n.sent)
-	n.sent += count
+	count := min(len(peers), maxPromptNoticesPerSecond-n.sentInSecond)
+	n.sentInSecond += count
 	return peers[:count], len(peers) - count
 }
 
-// Run takes notices until the context ends, and closes the socket.
+// Run receives notices until the context ends, then closes the socket.
 func (n *Notifier) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { n.conn.Close() })
 	defer stop()
-	buf := make([]byte, maxBytes)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, _, err := n.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
@@ -204,11 +210,11 @@
 	}
 	switch kind := d.GetKind().(type) {
 	case *peerv1.Datagram_Prompt:
-		told := n.cfg.OnPrompt
+		handler := n.cfg.OnPromptSent
 		if kind.Prompt.GetRead() {
-			told = n.cfg.OnRead
+			handler = n.cfg.OnPromptPrefilled
 		}
-		told(kind.Prompt.GetEndpoint(), int(min(kind.Prompt.GetTokens(), maxTokens)))
+		handler(kind.Prompt.GetEndpoint(), int(min(kind.Prompt.GetTokens(), maxNoticeTokens)))
 	case *peerv1.Datagram_Loads:
 		n.cfg.OnLoads(kind.Loads)
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -69,14 +69,14 @@
 mutant "notices: reading estimated" pkg/scheduler/versions.go 's/c.ToldReads = true/c.ToldReads = false/' ./pkg/scheduler
 mutant "notices: unknown engines elsewhere used" pkg/scheduler/versions.go 's/c.KnownRemotes = true/c.KnownRemotes = false/' ./pkg/scheduler
 mutant "notices: requests that wait not told" internal/peering/loads.go 's/toByte(rep.Waiting)/0/' ./internal/peering
-mutant "notices: loads told to all" internal/notices/notices.go 's/to = append(to, peers\[pick(len(peers))\])/to = append(to, peers...)/' ./internal/notices
+mutant "notices: loads told to all" internal/notices/notices.go 's/recipients = append(recipients, peers\[pick(len(peers))\])/recipients = append(recipients, peers...)/' ./internal/notices
 mutant "exchange: answers compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 1/' ./internal/peering
 mutant "exchange: large tables not compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 64 << 20/' ./internal/peering
 mutant "exchange: leaves repeated by all who hear" internal/peering/beliefs.go 's/if r.GetDataCenter() != b.view.Self().GetDataCenter() {/if true {/' ./internal/peering
 mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peersFirst = 150 \* time.Millisecond/peersFirst = time.Hour/' ./internal/controllers
 mutant "starts: store read though peers know" internal/controllers/catchup.go 's/if !c.Ready() {/if true {/' ./internal/controllers
 mutant "starts: old copy believed to be new" platform/store.go 's/^\tout.Revision = 0$//' "./internal/gateway -run TestTheFirstStart"
-mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPerSecond-n.sent)/count := len(peers)/' ./internal/notices
+mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPromptNoticesPerSecond-n.sentInSecond)/count := len(peers)/' ./internal/notices
 mutant "store: read while the view settles" internal/controllers/load.go 's/if !pause.For(ctx, c.Settle)/if !pause.For(ctx, 0)/' ./internal/controllers
 mutant "store: a pause after a deaf watch" internal/controllers/config.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestAWatch"
 mutant "store: deaf watches held on to" platform/published.go 's/WatchOverrun = 500 \* time.Millisecond/WatchOverrun = 2 * time.Second/' "./platform -run TestAWatch"
