--- a/internal/controllers/catchup.go
+++ b/internal/controllers/catchup.go
@@ -6,48 +6,49 @@
 )
 
 const (
-	// peersFirst is the time that peers have to tell the values before the platform is
-	// read. They answer within 100 ms if they are there; after a failure of all entries they
-	// know nothing, or one is silent, and each moment counts.
-	peersFirst = 150 * time.Millisecond
-	// readyEvery is how often it is looked whether the values are known meanwhile.
-	readyEvery = 10 * time.Millisecond
+	// peerSyncTimeout is how long peers have to send the values before the platform is read.
+	// Peers that have the values answer within 100 ms. After a failure of all entries no peer has
+	// them, or one doesn't answer, and a longer timeout would delay the start.
+	peerSyncTimeout = 150 * time.Millisecond
+	// readyCheckInterval is how often Ready is checked while peers are asked.
+	readyCheckInterval = 10 * time.Millisecond
 )
 
-// CatchUp learns the values of an entry that is started in a running system: from its
-// peers, and from the platform if they don't tell soon.
+// CatchUp obtains the published values for an entry that starts in a running system: from its
+// peers, or from the platform if the peers don't send them in time.
 type CatchUp struct {
-	AskPeers  func(context.Context)
-	ReadStore func(context.Context)
-	// Ready reports whether the values are known.
+	SyncWithPeers func(context.Context)
+	ReadStore     func(context.Context)
+	// Ready reports whether all values are in force.
 	Ready func() bool
 }
 
-// Run tries once. It returns as soon as the values are known, or when both were asked.
+// Run makes one attempt. It returns as soon as the values are in force, or when both the peers
+// and the platform have been asked.
 func (c *CatchUp) Run(ctx context.Context) {
-	asked := make(chan struct{})
+	peersDone := make(chan struct{})
 	go func() {
-		defer close(asked)
-		c.AskPeers(ctx)
+		defer close(peersDone)
+		c.SyncWithPeers(ctx)
 	}()
-	c.await(ctx, asked)
+	c.await(ctx, peersDone)
 	if !c.Ready() {
 		c.ReadStore(ctx)
 	}
 }
 
-// await waits until the values are known, all peers have been asked, or their time is
-// over.
-func (c *CatchUp) await(ctx context.Context, asked <-chan struct{}) {
-	over := time.After(peersFirst)
-	look := time.NewTicker(readyEvery)
-	defer look.Stop()
+// await waits until the values are in force, all peers have been asked, or peerSyncTimeout has
+// passed.
+func (c *CatchUp) await(ctx context.Context, peersDone <-chan struct{}) {
+	timeout := time.After(peerSyncTimeout)
+	ticker := time.NewTicker(readyCheckInterval)
+	defer ticker.Stop()
 	for !c.Ready() {
 		select {
-		case <-look.C:
-		case <-asked:
+		case <-ticker.C:
+		case <-peersDone:
 			return
-		case <-over:
+		case <-timeout:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/controllers/catchup_test.go
+++ b/internal/controllers/catchup_test.go
@@ -12,35 +12,36 @@
 	"github.com/bridgehoist/bridgehoist/internal/controllers"
 )
 
-// TestCatchingUp: an entry takes the values of its peers if they tell them soon, and reads
-// the platform else; a silent peer holds nobody up.
-func TestCatchingUp(t *testing.T) {
+// TestCatchUp checks that an entry takes the values from its peers if they send them soon and
+// otherwise reads the platform, and that a peer that doesn't answer delays it no longer than
+// that.
+func TestCatchUp(t *testing.T) {
 	for name, c := range map[string]struct {
-		peersTake time.Duration
-		peersKnow bool
-		took      time.Duration
-		reads     int
+		peerDelay       time.Duration
+		peersHaveValues bool
+		wantDuration    time.Duration
+		wantReads       int
 	}{
-		"peers know":         {peersTake: 50 * time.Millisecond, peersKnow: true, took: 50 * time.Millisecond},
-		"peers know late":    {peersTake: time.Second, peersKnow: true, took: 150 * time.Millisecond, reads: 1},
-		"peers know nothing": {peersTake: 20 * time.Millisecond, took: 20 * time.Millisecond, reads: 1},
-		"a peer is silent":   {peersTake: time.Hour, took: 150 * time.Millisecond, reads: 1},
+		"peers have the values": {peerDelay: 50 * time.Millisecond, peersHaveValues: true, wantDuration: 50 * time.Millisecond},
+		"peers answer late":     {peerDelay: time.Second, peersHaveValues: true, wantDuration: 150 * time.Millisecond, wantReads: 1},
+		"peers have no values":  {peerDelay: 20 * time.Millisecond, wantDuration: 20 * time.Millisecond, wantReads: 1},
+		"a peer doesn't answer": {peerDelay: time.Hour, wantDuration: 150 * time.Millisecond, wantReads: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				var known atomic.Bool
+				var haveValues atomic.Bool
 				reads := 0
-				up := controllers.CatchUp{
-					AskPeers:  func(context.Context) { time.Sleep(c.peersTake); known.CompareAndSwap(false, c.peersKnow) },
-					ReadStore: func(context.Context) { reads++; known.Store(true) },
-					Ready:     known.Load,
+				catchUp := controllers.CatchUp{
+					SyncWithPeers: func(context.Context) { time.Sleep(c.peerDelay); haveValues.CompareAndSwap(false, c.peersHaveValues) },
+					ReadStore:     func(context.Context) { reads++; haveValues.Store(true) },
+					Ready:         haveValues.Load,
 				}
-				begun := time.Now()
-				up.Run(t.Context())
-				g.Expect(time.Since(begun)).To(Equal(c.took))
-				g.Expect(reads).To(Equal(c.reads))
-				time.Sleep(c.peersTake) // The question to the peers ends by itself.
+				startedAt := time.Now()
+				catchUp.Run(t.Context())
+				g.Expect(time.Since(startedAt)).To(Equal(c.wantDuration))
+				g.Expect(reads).To(Equal(c.wantReads))
+				time.Sleep(c.peerDelay) // The sync with the peers ends by itself.
 			})
 		})
 	}
--- a/internal/controllers/controllers.go
+++ b/internal/controllers/controllers.go
@@ -1,5 +1,6 @@
-// Package controllers holds the loops that keep an entry's state: each has one
-// job and runs until its context ends.
+// Package controllers contains the periodic loops that keep an entry's state current: the
+// exchange with peers, the watch of the published values and the polling of engine loads. Each
+// runs until its context ends.
 package controllers
 
 import (
@@ -15,17 +16,17 @@
 	"github.com/bridgehoist/bridgehoist/pkg/membership"
 )
 
-// Controller is one loop.
+// Controller is a background loop.
 type Controller interface {
-	// Run works until the context ends.
+	// Run blocks until the context ends.
 	Run(ctx context.Context)
 }
 
-// minKick is the shortest time between rounds that news has triggered.
-const minKick = 20 * time.Millisecond
+// minRequestedRoundInterval is the delay after a requested round before the next one may start.
+const minRequestedRoundInterval = 20 * time.Millisecond
 
-// every calls f at an interval with a jitter of a tenth, until the context ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+// runPeriodically calls f at an interval with a jitter of ±10%, until the context ends.
+func runPeriodically(ctx context.Context, interval time.Duration, f func()) {
 	for {
 		jitter := time.Duration((rand.Float64() - 0.5) * 0.2 * float64(interval))
 		if !pause.For(ctx, interval+jitter) {
@@ -35,45 +36,48 @@
 	}
 }
 
-// Exchange renews the entry's record and reconciles with its peers.
+// Exchange periodically renews the entry's own record and reconciles its state with peers.
 type Exchange struct {
-	Beliefs *peering.Beliefs
-	Client  *peering.Client
-	// Inherited lists the incarnations whose tickets the entry took over; nil if
-	// it gives none.
+	PeerState *peering.Beliefs
+	Client    *peering.Client
+	// Inherited lists the incarnations whose tickets this entry took over; nil if it took over
+	// none.
 	Inherited func() [][]byte
 	Interval  time.Duration
-	// SeedPeers are asked at the start, besides those of the fleet list, whenever no peer
-	// answers, and for as long as they are unknown; see findSeeds.
+	// SeedPeers are addresses to contact in addition to those of the fleet list: in the initial
+	// sync, in a round in which no peer answers, and for as long as no member has that address;
+	// see contactUnknownSeeds.
 	SeedPeers []string
-	// OnRound is told how many peers answered of how many.
+	// OnRound is called after each round with the number of peers that answered and of those
+	// asked.
 	OnRound func(answered, asked int)
-	// Kicked asks for a round at once; see Kick.
-	Kicked chan struct{}
+	// RoundRequests signals that a round is requested; see RequestRound. It needs a buffer of
+	// one.
+	RoundRequests chan struct{}
 }
 
-// Kick makes the next round happen soon, because there is news that shouldn't
-// wait: a new table, or an endpoint that leaves. It never blocks.
-func (c *Exchange) Kick() {
+// RequestRound starts a round as soon as possible, for changes that must reach peers quickly: a
+// new table, or an endpoint that is leaving. It never blocks.
+func (c *Exchange) RequestRound() {
 	select {
-	case c.Kicked <- struct{}{}:
+	case c.RoundRequests <- struct{}{}:
 	default:
 	}
 }
 
 // Run implements Controller.
 func (c *Exchange) Run(ctx context.Context) {
-	go c.runKicked(ctx)
-	go c.findSeeds(ctx)
-	every(ctx, c.Interval, func() { c.round(ctx) })
+	go c.runRequestedRounds(ctx)
+	go c.contactUnknownSeeds(ctx)
+	runPeriodically(ctx, c.Interval, func() { c.round(ctx) })
 }
 
-func (c *Exchange) runKicked(ctx context.Context) {
+func (c *Exchange) runRequestedRounds(ctx context.Context) {
 	for {
 		select {
-		case <-c.Kicked:
+		case <-c.RoundRequests:
 			c.round(ctx)
-			pause.For(ctx, minKick)
+			pause.For(ctx, minRequestedRoundInterval)
 		case <-ctx.Done():
 			return
 		}
@@ -81,7 +85,7 @@
 }
 
 func (c *Exchange) round(ctx context.Context) {
-	c.Beliefs.Beat(clock.Now(), c.inherited())
+	c.PeerState.Beat(clock.Now(), c.inherited())
 	answered, asked := c.Client.Round(ctx)
 	c.OnRound(answered, asked)
 	if answered == 0 && len(c.SeedPeers) > 0 {
@@ -90,28 +94,30 @@
 }
 
 const (
-	// firstSeedPause is when unknown seeds are asked again for the first time: a process takes
-	// some 20 ms from its start until it listens. It doubles up to maxSeedPause, since a seed
-	// may be gone for good: with 66 entries one that is gets seven calls a second.
-	firstSeedPause = 50 * time.Millisecond
-	maxSeedPause   = 10 * time.Second
+	// initialSeedBackoff is the delay until unknown seeds are contacted again for the first time:
+	// a process takes some 20 ms from its start until it listens. The backoff doubles up to
+	// maxSeedBackoff, since a seed may be gone for good: with 66 entries, such a seed gets seven
+	// calls a second.
+	initialSeedBackoff = 50 * time.Millisecond
+	maxSeedBackoff     = 10 * time.Second
 )
 
-// findSeeds asks the seeds that are no members. Entries that started before a seed listened
-// and know each other would go on without it, and it without them if it has no seeds itself:
-// three entries that started within 7 ms were two views for 1.8 s.
-func (c *Exchange) findSeeds(ctx context.Context) {
-	for wait := firstSeedPause; pause.For(ctx, wait); wait = min(2*wait, maxSeedPause) {
+// contactUnknownSeeds repeatedly contacts the seeds that are not members. Otherwise entries that
+// know each other but started before a seed listened would never find it, and if it has no seeds
+// itself, it wouldn't find them either: three entries that started within 7 ms of each other
+// formed two separate views for 1.8 s.
+func (c *Exchange) contactUnknownSeeds(ctx context.Context) {
+	for backoff := initialSeedBackoff; pause.For(ctx, backoff); backoff = min(2*backoff, maxSeedBackoff) {
 		if unknown := c.unknownSeeds(); len(unknown) > 0 {
 			c.Client.Reconcile(ctx, unknown)
 		}
 	}
 }
 
-// unknownSeeds lists the seeds that are no members.
+// unknownSeeds returns the seeds that are not members.
 func (c *Exchange) unknownSeeds() []membership.Contact {
 	known := map[string]bool{}
-	c.Beliefs.View(func(v *membership.View) {
+	c.PeerState.View(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
 			known[m.Address] = true
 		}
@@ -127,40 +133,40 @@
 }
 
 func (c *Exchange) seeds() []membership.Contact {
-	var out []membership.Contact
+	var contacts []membership.Contact
 	for _, address := range c.SeedPeers {
-		out = append(out, membership.Contact{Address: address})
+		contacts = append(contacts, membership.Contact{Address: address})
 	}
-	return out
+	return contacts
 }
 
-// Catchup reconciles once with every peer of the list that is near enough to
-// matter, and returns when each has answered or failed. An entry isn't ready
-// before: its peers may know newer values than the platform replica that it
-// reads.
-func (c *Exchange) Catchup(ctx context.Context, dataCenter string) {
-	c.Beliefs.Beat(clock.Now(), c.inherited())
+// InitialSync reconciles once with the configured seeds, with every peer of the fleet list in the
+// same data centre and with up to two in others, and returns when each has answered or failed. It
+// runs before the entry becomes ready, because peers may have newer values than the platform
+// replica that the entry reads.
+func (c *Exchange) InitialSync(ctx context.Context, dataCenter string) {
+	c.PeerState.Beat(clock.Now(), c.inherited())
 	c.Client.Reconcile(ctx, c.seeds())
-	var near, far []membership.Contact
-	c.Beliefs.View(func(v *membership.View) {
+	var local, remote []membership.Contact
+	c.PeerState.View(func(v *membership.View) {
 		for _, s := range v.Seeds() {
 			if s.DataCenter == dataCenter {
-				near = append(near, s)
+				local = append(local, s)
 			} else {
-				far = append(far, s)
+				remote = append(remote, s)
 			}
 		}
 	})
-	const fewRemote = 2
-	c.Client.Reconcile(ctx, append(near, far[:min(len(far), fewRemote)]...))
+	const maxRemoteSeeds = 2
+	c.Client.Reconcile(ctx, append(local, remote[:min(len(remote), maxRemoteSeeds)]...))
 }
 
-// Farewell tells all members that the entry has left.
-func (c *Exchange) Farewell(ctx context.Context) {
-	c.Beliefs.SetState(peerv1.NodeState_NODE_STATE_LEFT)
-	c.Beliefs.Beat(clock.Now(), nil)
+// AnnounceLeft announces to all live members that the entry has left.
+func (c *Exchange) AnnounceLeft(ctx context.Context) {
+	c.PeerState.SetState(peerv1.NodeState_NODE_STATE_LEFT)
+	c.PeerState.Beat(clock.Now(), nil)
 	var peers []membership.Contact
-	c.Beliefs.View(func(v *membership.View) {
+	c.PeerState.View(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
 			if m.Status == membership.Alive {
 				peers = append(peers, m.Contact)
@@ -170,15 +176,15 @@
 	c.Client.Reconcile(ctx, peers)
 }
 
-// Housekeeping forgets what is no longer needed.
-type Housekeeping struct {
+// PeriodicTasks runs tasks at an interval, such as dropping expired state.
+type PeriodicTasks struct {
 	Interval time.Duration
 	Tasks    []func()
 }
 
 // Run implements Controller.
-func (c *Housekeeping) Run(ctx context.Context) {
-	every(ctx, c.Interval, func() {
+func (c *PeriodicTasks) Run(ctx context.Context) {
+	runPeriodically(ctx, c.Interval, func() {
 		for _, task := range c.Tasks {
 			task()
 		}
--- /dev/null
+++ b/internal/controllers/load_poller.go
@@ -0,0 +1,102 @@
+package controllers
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/bridgehoist/bridgehoist/internal/clock"
+	"github.com/bridgehoist/bridgehoist/internal/engineclient"
+	"github.com/bridgehoist/bridgehoist/internal/pause"
+	"github.com/bridgehoist/bridgehoist/internal/peering"
+	"github.com/bridgehoist/bridgehoist/pkg/fleet"
+	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
+)
+
+const (
+	maxConcurrentPolls = 8
+	pollTimeout        = time.Second
+)
+
+// LoadReader fetches the load report of an engine and whether the engine is leaving, that is,
+// accepts no new work.
+type LoadReader func(ctx context.Context, e fleet.Endpoint) (r scheduler.Report, leaving bool, err error)
+
+// LoadPoller polls the load of the engines that this entry is a home entry of. Other entries
+// receive the reports in the exchange.
+type LoadPoller struct {
+	PeerState *peering.Beliefs
+	ReadLoad  LoadReader
+	Interval  time.Duration
+	// StartDelay is the time after the start in which no engine is polled. An entry that has just
+	// started knows few peers, and so counts as a home entry of every engine; after a failure of
+	// many entries, all of them would poll every engine.
+	StartDelay time.Duration
+	// Saturated, if set, reports whether requests wait or are refused because engines are full.
+	// Engines are then polled every SaturatedInterval.
+	Saturated         func() bool
+	SaturatedInterval time.Duration
+}
+
+// Run implements Controller.
+func (c *LoadPoller) Run(ctx context.Context) {
+	if !pause.For(ctx, c.StartDelay) {
+		return
+	}
+	if c.Saturated == nil {
+		runPeriodically(ctx, c.Interval, func() { c.poll(ctx) })
+		return
+	}
+	lastPoll := clock.Now()
+	runPeriodically(ctx, c.SaturatedInterval, func() {
+		if clock.Since(lastPoll) < c.Interval && !c.Saturated() {
+			return
+		}
+		lastPoll = clock.Now()
+		c.poll(ctx)
+	})
+}
+
+func (c *LoadPoller) poll(ctx context.Context) {
+	var g errgroup.Group
+	g.SetLimit(maxConcurrentPolls)
+	for _, e := range c.PeerState.ToPoll(clock.Now()) {
+		g.Go(func() error {
+			c.PollEndpoint(ctx, e)
+			return nil
+		})
+	}
+	_ = g.Wait()
+}
+
+// PollEndpoint polls the load of one endpoint.
+func (c *LoadPoller) PollEndpoint(ctx context.Context, e fleet.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	// A failed poll needs no handling: the age of the last report shows it.
+	if report, leaving, err := c.ReadLoad(ctx, e); err == nil {
+		c.PeerState.Polled(report, leaving)
+	}
+}
+
+// NativeLoadReader returns a LoadReader for engines with the system's own interface.
+func NativeLoadReader(client *engineclient.Client) LoadReader {
+	return func(ctx context.Context, e fleet.Endpoint) (scheduler.Report, bool, error) {
+		requestedAt := clock.Now()
+		load, err := client.Load(ctx, e)
+		if err != nil {
+			return scheduler.Report{}, false, err
+		}
+		return scheduler.Report{
+			Endpoint:       e.ID,
+			Incarnation:    load.Incarnation,
+			At:             requestedAt,
+			UsedTokens:     load.UsedTokens,
+			CapacityTokens: load.CapacityTokens,
+			Running:        load.Running,
+			Waiting:        load.Waiting,
+			Preemptions:    load.Preemptions,
+		}, load.Draining, nil
+	}
+}
--- a/internal/controllers/seeds_test.go
+++ b/internal/controllers/seeds_test.go
@@ -20,66 +20,66 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// meeting is an entry that does nothing but exchange.
-type meeting struct {
-	beliefs  *peering.Beliefs
+// exchangingEntry is an entry that only exchanges state with peers.
+type exchangingEntry struct {
+	state    *peering.Beliefs
 	exchange *controllers.Exchange
 	handler  http.Handler
 }
 
-func newMeeting(vm, address string, seeds ...string) *meeting {
+func newExchangingEntry(vm, address string, seeds ...string) *exchangingEntry {
 	view := membership.New(membership.Config{VM: vm, DataCenter: "dc", PeerAddress: address, Epoch: 1, Incarnation: []byte(vm)})
-	beliefs := peering.NewBeliefs(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
+	state := peering.NewBeliefs(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
 	store := published.New(published.Config{}, func(published.Event) {}, nil)
 	traffic := &peering.Traffic{}
-	client := peering.NewClient(peering.Config{Beliefs: beliefs, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
-	return &meeting{
-		beliefs:  beliefs,
-		handler:  peering.NewServer(beliefs, store, nil, nil, traffic).Handler(""),
-		exchange: &controllers.Exchange{Beliefs: beliefs, Client: client, Interval: 20 * time.Millisecond, SeedPeers: seeds, Kicked: make(chan struct{}, 1), OnRound: func(int, int) {}},
+	client := peering.NewClient(peering.Config{Beliefs: state, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
+	return &exchangingEntry{
+		state:    state,
+		handler:  peering.NewServer(state, store, nil, nil, traffic).Handler(""),
+		exchange: &controllers.Exchange{PeerState: state, Client: client, Interval: 20 * time.Millisecond, SeedPeers: seeds, RoundRequests: make(chan struct{}, 1), OnRound: func(int, int) {}},
 	}
 }
 
-// serve answers the others at a listener.
-func (m *meeting) serve(t *testing.T, l net.Listener) {
-	server := httptest.NewUnstartedServer(m.handler)
+// serve handles the calls of peers at a listener.
+func (e *exchangingEntry) serve(t *testing.T, l net.Listener) {
+	server := httptest.NewUnstartedServer(e.handler)
 	server.Listener.Close()
 	server.Listener = l
 	server.Start()
 	t.Cleanup(server.Close)
 }
 
-func (m *meeting) members() (count int) {
-	m.beliefs.View(func(v *membership.View) { count = len(v.Members(time.Now())) })
+func (e *exchangingEntry) members() (count int) {
+	e.state.View(func(v *membership.View) { count = len(v.Members(time.Now())) })
 	return count
 }
 
-// TestASeedThatListensLate is found by entries that have found each other without it, though
-// it has no seeds itself.
-func TestASeedThatListensLate(t *testing.T) {
+// TestLateSeedIsFound checks that entries which found each other before a seed listened find the
+// seed as well, though it has no seeds itself.
+func TestLateSeedIsFound(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	late, second, third := freeport.Listen(t), freeport.Listen(t), freeport.Listen(t)
-	at := func(l net.Listener) string { return l.Addr().String() }
-	// It refuses connections until it listens.
-	late.Close()
-	seed := newMeeting("vm-0", at(late))
-	two := newMeeting("vm-1", at(second), at(late))
-	three := newMeeting("vm-2", at(third), at(late), at(second))
-	two.serve(t, second)
-	three.serve(t, third)
-	for _, m := range []*meeting{two, three} {
-		go m.exchange.Run(ctx)
+	lateListener, secondListener, thirdListener := freeport.Listen(t), freeport.Listen(t), freeport.Listen(t)
+	address := func(l net.Listener) string { return l.Addr().String() }
+	// The address refuses connections until it is listened on again.
+	lateListener.Close()
+	seed := newExchangingEntry("vm-0", address(lateListener))
+	second := newExchangingEntry("vm-1", address(secondListener), address(lateListener))
+	third := newExchangingEntry("vm-2", address(thirdListener), address(lateListener), address(secondListener))
+	second.serve(t, secondListener)
+	third.serve(t, thirdListener)
+	for _, e := range []*exchangingEntry{second, third} {
+		go e.exchange.Run(ctx)
 	}
-	for _, m := range []*meeting{two, three} {
-		g.Eventually(m.members, time.Minute).Should(Equal(1))
+	for _, e := range []*exchangingEntry{second, third} {
+		g.Eventually(e.members, time.Minute).Should(Equal(1))
 	}
 	go seed.exchange.Run(ctx)
-	again, err := net.Listen("tcp", at(late))
+	reopened, err := net.Listen("tcp", address(lateListener))
 	g.Expect(err).NotTo(HaveOccurred())
-	seed.serve(t, again)
-	for _, m := range []*meeting{seed, two, three} {
-		g.Eventually(m.members, 10*time.Second).Should(Equal(2))
+	seed.serve(t, reopened)
+	for _, e := range []*exchangingEntry{seed, second, third} {
+		g.Eventually(e.members, 10*time.Second).Should(Equal(2))
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 	// crashes finds out which requests endpoints ended under.
 	crashes  *crashwatch.Watcher
 	exchange *controllers.Exchange
-	config   *controllers.Config
+	config   *controllers.ValueWatcher
 	peerTLS  *tls.Config
 }
 
@@ -171,26 +171,26 @@
 
 func (e *Entry) makeControllers() {
 	e.exchange = &controllers.Exchange{
-		Beliefs:   e.beliefs,
-		Client:    e.peers,
-		Inherited: e.owner.Inherited,
-		Interval:  e.cfg.ExchangeEvery,
-		SeedPeers: e.cfg.seeds,
-		Kicked:    make(chan struct{}, 1),
+		PeerState:     e.beliefs,
+		Client:        e.peers,
+		Inherited:     e.owner.Inherited,
+		Interval:      e.cfg.ExchangeEvery,
+		SeedPeers:     e.cfg.seeds,
+		RoundRequests: make(chan struct{}, 1),
 		OnRound: func(answered, asked int) {
 			e.metrics.PeersAsked.Add(float64(asked))
 			e.metrics.PeersAnswered.Add(float64(answered))
 		},
 	}
-	e.config = &controllers.Config{
-		Reader:  platform.NewValues(platform.NewStore(e.cfg.Platform, e.metrics.PlatformCalls.Inc)),
-		Store:   e.store,
-		Beliefs: e.beliefs,
-		Wait:    e.cfg.WatchWait,
-		LookIn:  e.cfg.LookIn,
-		Round:   e.cfg.ExchangeEvery,
-		OnError: func(error) { e.metrics.PlatformErrors.Inc() },
-		OnState: e.onStoreState,
+	e.config = &controllers.ValueWatcher{
+		Reader:                 platform.NewValues(platform.NewStore(e.cfg.Platform, e.metrics.PlatformCalls.Inc)),
+		Store:                  e.store,
+		PeerState:              e.beliefs,
+		WatchWait:              e.cfg.WatchWait,
+		NonWatcherReadInterval: e.cfg.LookIn,
+		ExchangeInterval:       e.cfg.ExchangeEvery,
+		OnError:                func(error) { e.metrics.PlatformErrors.Inc() },
+		OnStoreState:           e.onStoreState,
 	}
 }
 
@@ -212,7 +212,7 @@
 // kick passes news on soon. Values may come before there is an exchange.
 func (e *Entry) kick() {
 	if e.caughtUp.Load() {
-		e.exchange.Kick()
+		e.exchange.RequestRound()
 	}
 }
 
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -75,15 +75,15 @@
 	e.config.Read(ctx, 0)
 	ctx, cancel := context.WithTimeout(ctx, catchupTimeout)
 	defer cancel()
-	e.exchange.Catchup(ctx, e.cfg.DataCenter)
+	e.exchange.InitialSync(ctx, e.cfg.DataCenter)
 }
 
 func (e *Entry) controllers() []controllers.Controller {
 	return []controllers.Controller{
 		e.exchange,
 		e.config,
-		&controllers.Load{Beliefs: e.beliefs, Read: controllers.NativeLoad(e.client), Interval: e.cfg.PollEvery},
-		&controllers.Housekeeping{Interval: housekeepingEvery, Tasks: []func(){e.owner.Expire}},
+		&controllers.LoadPoller{PeerState: e.beliefs, ReadLoad: controllers.NativeLoadReader(e.client), Interval: e.cfg.PollEvery},
+		&controllers.PeriodicTasks{Interval: housekeepingEvery, Tasks: []func(){e.owner.Expire}},
 	}
 }
 
@@ -145,7 +145,7 @@
 	e.handOver(drain)
 	farewell, cancelFarewell := context.WithTimeout(ctx, farewellTimeout)
 	defer cancelFarewell()
-	e.exchange.Farewell(farewell)
+	e.exchange.AnnounceLeft(farewell)
 	time.Sleep(e.cfg.HandoverLinger)
 	grace, cancelGrace := context.WithTimeout(ctx, listenerCloseGrace)
 	defer cancelGrace()
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -54,7 +54,7 @@
 // waits of all entries that it goes through would add up.
 func (g *Gateway) onDeferred(until time.Time) {
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	g.applyLater(until)
 }
@@ -79,7 +79,7 @@
 	}
 	g.log.Info("value in force", "name", ev.Name, "revision", ev.Revision, "source", ev.Source)
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	if ev.Name == published.Table {
 		// What the operators say of engines is part of the table.
@@ -250,7 +250,7 @@
 		g.evacuator.Leaving(g.work, e, noticed)
 	}
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 }
 
@@ -296,7 +296,7 @@
 func (g *Gateway) onStoreState(up bool, since time.Duration, err error) {
 	g.beliefs.SetStoreLost(!up)
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	if up {
 		g.log.Info("store regained", "away", since.Round(time.Millisecond))
--- a/internal/gateway/closing.go
+++ b/internal/gateway/closing.go
@@ -28,7 +28,7 @@
 	go func() {
 		defer g.checking.Delete(at.Life())
 		for range closingReads {
-			g.load.ReadOne(g.work, at)
+			g.load.PollEndpoint(g.work, at)
 			if g.beliefs.Leaving(at) || !pause.For(g.work, closingPause) {
 				return
 			}
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -45,7 +45,7 @@
 // tellSoon has the other entries told without waiting for the next round.
 func (g *Gateway) tellSoon() {
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -108,12 +108,12 @@
 	inForce  atomic.Pointer[fleet.List]
 	work     context.Context
 	exchange *controllers.Exchange
-	load     *controllers.Load
+	load     *controllers.LoadPoller
 	// checking holds the lives of the engines whose state is being read out of turn.
 	checking sync.Map
 	// notices is nil if the platform leaves no port for them.
 	notices *notices.Notifier
-	config  *controllers.Config
+	config  *controllers.ValueWatcher
 
 	// grace, lives, restored and their timer, and what follows, are guarded by mu.
 	mu       sync.Mutex
--- a/internal/gateway/list_work_test.go
+++ b/internal/gateway/list_work_test.go
@@ -93,7 +93,7 @@
 		f.g.caughtUp.Store(true)
 		kicked := func() bool {
 			select {
-			case <-f.g.exchange.Kicked:
+			case <-f.g.exchange.RoundRequests:
 				return true
 			default:
 				return false
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -127,7 +127,7 @@
 	}
 	farewell, cancelFarewell := context.WithTimeout(ctx, farewellTimeout)
 	defer cancelFarewell()
-	g.exchange.Farewell(farewell)
+	g.exchange.AnnounceLeft(farewell)
 	closing, cancelClosing := context.WithTimeout(ctx, listenerCloseGrace)
 	defer cancelClosing()
 	// Peers repeat their exchanges elsewhere, and nothing else is left to lose.
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -57,40 +57,40 @@
 		Traffic: g.traffic,
 	})
 	g.exchange = &controllers.Exchange{
-		Beliefs:   g.beliefs,
-		Client:    g.peers,
-		Interval:  g.cfg.ExchangeEvery,
-		SeedPeers: g.seeds(),
-		Kicked:    make(chan struct{}, 1),
-		OnRound:   g.onRound,
+		PeerState:     g.beliefs,
+		Client:        g.peers,
+		Interval:      g.cfg.ExchangeEvery,
+		SeedPeers:     g.seeds(),
+		RoundRequests: make(chan struct{}, 1),
+		OnRound:       g.onRound,
 	}
 	source := platform.NewPublished(platform.NewStore(g.vm.Store, g.metrics.PlatformCalls.Inc))
 	g.reader = newReader(source, func() (published.Value, bool) { return g.store.Get(published.Fleet) })
 	g.reader.onEra = g.onEra
-	g.config = &controllers.Config{
-		Reader:  g.reader,
-		Store:   g.store,
-		Beliefs: g.beliefs,
-		Wait:    g.cfg.WatchWait,
-		Spacing: g.cfg.WatchSpacing,
-
-		FirstWait:     firstWait(g.vm.Bounds.ConfigApply),
-		SecondSpacing: g.cfg.WatchSecondSpacing,
-
-		Settle:  g.cfg.settle(),
-		LookIn:  g.cfg.LookIn,
-		Round:   g.cfg.ExchangeEvery,
-		OnError: func(error) { g.metrics.PlatformErrors.Inc() },
-		OnState: g.onStoreState,
+	g.config = &controllers.ValueWatcher{
+		Reader:       g.reader,
+		Store:        g.store,
+		PeerState:    g.beliefs,
+		WatchWait:    g.cfg.WatchWait,
+		WatchSpacing: g.cfg.WatchSpacing,
+
+		MaxFirstWatcherWait:   firstWait(g.vm.Bounds.ConfigApply),
+		SecondaryWatchSpacing: g.cfg.WatchSecondSpacing,
+
+		StartDelay:             g.cfg.settle(),
+		NonWatcherReadInterval: g.cfg.LookIn,
+		ExchangeInterval:       g.cfg.ExchangeEvery,
+		OnError:                func(error) { g.metrics.PlatformErrors.Inc() },
+		OnStoreState:           g.onStoreState,
 	}
-	g.load = &controllers.Load{
-		Beliefs:  g.beliefs,
-		Read:     g.readLoad,
-		Interval: g.cfg.PollEvery,
-		Settle:   g.cfg.settle(),
-
-		Pressed:         g.pressed,
-		PressedInterval: g.cfg.PollPressed,
+	g.load = &controllers.LoadPoller{
+		PeerState:  g.beliefs,
+		ReadLoad:   g.readLoad,
+		Interval:   g.cfg.PollEvery,
+		StartDelay: g.cfg.settle(),
+
+		Saturated:         g.pressed,
+		SaturatedInterval: g.cfg.PollPressed,
 	}
 }
 
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -34,7 +34,7 @@
 	answered revision.ID
 }
 
-var _ controllers.Reader = (*reader)(nil)
+var _ controllers.ValueReader = (*reader)(nil)
 
 // newReader makes a reader; held returns the newest fleet value known.
 func newReader(s *platform.Published, held func() (published.Value, bool)) *reader {
--- a/internal/gateway/restored_fleet_test.go
+++ b/internal/gateway/restored_fleet_test.go
@@ -644,7 +644,7 @@
 				}
 				alone := f.entries[0]
 				for _, e := range f.entries {
-					if !e.g.beliefs.Assigned(clock.Now(), "watch", controllers.Watchers) {
+					if !e.g.beliefs.Assigned(clock.Now(), "watch", controllers.WatchersPerDataCenter) {
 						alone = e
 					}
 				}
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -30,7 +30,7 @@
 	g.caughtUp.Store(true)
 	g.log.Info("caught up", "after", clock.Since(g.started).Round(time.Millisecond))
 	var loops sync.WaitGroup
-	tell := &controllers.Housekeeping{Interval: g.cfg.LoadsEvery, Tasks: []func(){g.tellLoads}}
+	tell := &controllers.PeriodicTasks{Interval: g.cfg.LoadsEvery, Tasks: []func(){g.tellLoads}}
 	for _, c := range []controllers.Controller{g.exchange, g.config, g.load, tell} {
 		loops.Go(func() { c.Run(ctx) })
 	}
@@ -49,12 +49,12 @@
 func (g *Gateway) catchUp(ctx context.Context) {
 	if g.vm.FirstStart {
 		var both sync.WaitGroup
-		both.Go(func() { g.config.ReadBy(ctx, g.reader.ReadStale) })
+		both.Go(func() { g.config.ReadWith(ctx, g.reader.ReadStale) })
 		both.Go(func() { g.askSeeds(ctx) })
 		both.Wait()
 		return
 	}
-	late := controllers.CatchUp{AskPeers: g.askSeeds, ReadStore: func(ctx context.Context) { g.config.Read(ctx, 0) }, Ready: g.store.Ready}
+	late := controllers.CatchUp{SyncWithPeers: g.askSeeds, ReadStore: func(ctx context.Context) { g.config.Read(ctx, 0) }, Ready: g.store.Ready}
 	late.Run(ctx)
 }
 
@@ -62,5 +62,5 @@
 func (g *Gateway) askSeeds(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	g.exchange.Catchup(ctx, g.vm.DataCenter)
+	g.exchange.InitialSync(ctx, g.vm.DataCenter)
 }
--- a/internal/gateway/suspended.go
+++ b/internal/gateway/suspended.go
@@ -45,7 +45,7 @@
 	g.peersHTTP.CloseIdleConnections()
 	go g.applyEndpoints()
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -73,16 +73,16 @@
 mutant "exchange: answers compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 1/' ./internal/peering
 mutant "exchange: large tables not compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 64 << 20/' ./internal/peering
 mutant "exchange: leaves repeated by all who hear" internal/peering/beliefs.go 's/if r.GetDataCenter() != b.view.Self().GetDataCenter() {/if true {/' ./internal/peering
-mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peersFirst = 150 \* time.Millisecond/peersFirst = time.Hour/' ./internal/controllers
+mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peerSyncTimeout = 150 \* time.Millisecond/peerSyncTimeout = time.Hour/' ./internal/controllers
 mutant "starts: store read though peers know" internal/controllers/catchup.go 's/if !c.Ready() {/if true {/' ./internal/controllers
 mutant "starts: old copy believed to be new" platform/store.go 's/^\tout.Revision = 0$//' "./internal/gateway -run TestTheFirstStart"
 mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPromptNoticesPerSecond-n.sentInSecond)/count := len(peers)/' ./internal/notices
-mutant "store: read while the view settles" internal/controllers/load.go 's/if !pause.For(ctx, c.Settle)/if !pause.For(ctx, 0)/' ./internal/controllers
-mutant "store: a pause after a deaf watch" internal/controllers/config.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestAWatch"
+mutant "store: read while the view settles" internal/controllers/load_poller.go 's/if !pause.For(ctx, c.StartDelay)/if !pause.For(ctx, 0)/' ./internal/controllers
+mutant "store: a pause after a deaf watch" internal/controllers/value_watcher.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestFailedWatch"
 mutant "store: deaf watches held on to" platform/published.go 's/WatchOverrun = 500 \* time.Millisecond/WatchOverrun = 2 * time.Second/' "./platform -run TestAWatch"
-mutant "store: all watchers wait long" internal/controllers/config.go 's/if c.FirstWait == 0 || /if true || /' "./internal/controllers -run TestTheFirstWatcher"
-mutant "store: each change read alone" internal/controllers/config.go 's/pause.For(ctx, jittered(c.spacing(now)))/pause.For(ctx, time.Millisecond)/' ./internal/controllers
-mutant "store: second watchers ask as often" internal/controllers/config.go 's/^\treturn c.SecondSpacing$/\treturn c.Spacing/' ./internal/controllers
+mutant "store: all watchers wait long" internal/controllers/value_watcher.go 's/c.MaxFirstWatcherWait == 0 || !first {/true || !first {/' "./internal/controllers -run TestFirstWatcher"
+mutant "store: each change read alone" internal/controllers/value_watcher.go 's/pause.For(ctx, jittered(c.watchSpacing(now)))/pause.For(ctx, time.Millisecond)/' ./internal/controllers
+mutant "store: second watchers ask as often" internal/controllers/value_watcher.go 's/^\treturn c.SecondaryWatchSpacing$/\treturn c.WatchSpacing/' ./internal/controllers
 mutant "resume: the caller's event not passed on" platform/headers.go 's/if s.Resume {/if false {/' "./internal/gateway -run TestACallerResumes"
 mutant "resume: broken streams not gone on with" pkg/retry/retry.go 's/if a.Released > 0 \&\& !a.Resumable/if a.Released > 0/' "./internal/gateway -run TestAResumable"
 mutant "resume: run again for nobody" pkg/retry/retry.go 's/ || a.Failure == CallerGone {/ {/' ./pkg/retry
@@ -150,7 +150,7 @@
 mutant "crashing requests: kept apart at one endpoint" pkg/quarantine/apart.go 's/if taken\[e\] > i\/len(endpoints) {/if taken[e] > i {/' "./pkg/quarantine ./pkg/scheduler"
 mutant "crashing requests: others don't avoid" pkg/scheduler/apart.go 's/return slices.DeleteFunc(slices.Clone(from), func(e \*endpoint) bool { return avoided\[e\] })/return from/' ./pkg/scheduler
 mutant "crashing requests: ends that others tell aren't counted" pkg/quarantine/mark.go 's/if !known || ended.After(until) {/if known || !known || ended.After(until) {/' ./pkg/quarantine
-mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.findSeeds(ctx)$//' ./internal/controllers
+mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.contactUnknownSeeds(ctx)$//' ./internal/controllers
 mutant "closed data centres: used" pkg/scheduler/scheduler.go 's/s.leaving\[spec.ID\] || spec.Closed/s.leaving[spec.ID]/' ./pkg/scheduler
 mutant "closed data centres: not told to others" pkg/fleet/registry.go 's/closed\[rec.Closes\] = true/closed[rec.Closes] = false/' "./internal/gateway -run TestAClosed"
 mutant "regions: not kept to" pkg/scheduler/regions.go 's/return len(allowed) == 0 || slices.Contains(allowed, region)/return true || slices.Contains(allowed, region)/' ./pkg/scheduler
@@ -234,7 +234,7 @@
 mutant "restores: a rewind without a new era not noticed" pkg/revision/revision.go 's/id.Number() < before.Number() \&\& before.Rewinds() < MaxRewinds/false/' "./pkg/revision ./internal/gateway -run Given"
 mutant "restores: rewinds that others noticed not followed" pkg/revision/revision.go 's/others.Epoch() > before.Epoch()/false/' "./pkg/revision -run Given"
 mutant "restores: a watch beyond what the store has goes on" platform/store.go 's/at < since.Number()/at < 1/' "./platform -run TestAWatchBeyond"
-mutant "store: nobody stands in for watchers that lost it" internal/controllers/config.go 's/above < 2\*Watchers && reading < Watchers/false/' "./internal/gateway -run WatchersAreCutOff"
+mutant "store: nobody stands in for watchers that lost it" internal/controllers/value_watcher.go 's/higherRanked < 2\*WatchersPerDataCenter \&\& higherActive < WatchersPerDataCenter/false/' "./internal/gateway -run WatchersAreCutOff"
 mutant "store: a lost store is not declared" internal/gateway/beliefs.go 's/g.beliefs.SetStoreLost(!up)/_ = up/' "./internal/gateway -run WatchersAreCutOff"
 mutant "lists: each comes into force at once" internal/published/pacing.go 's/if !now.Before(s.pacer.nextApply) {/if true {/' "./internal/published -run NotQuadratic"
 mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(previous.Content, v.Content, v.Revision.Number())/return nil, errChangesUnknown/' "./internal/published -run FullList"
