--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -27,12 +27,12 @@
 	"github.com/bridgehoist/bridgehoist/platform"
 )
 
-func (g *Gateway) parsers() published.Parsers {
+func (g *Gateway) parsers() published.Config {
 	endpoints := platform.NewEndpointParser(func(f fleet.Findings) {
 		g.metrics.Values.WithLabelValues(published.Fleet, register.Rejected.String()).Inc()
 		g.log.Warn("endpoint records left out", "findings", f.Error())
 	})
-	return published.Parsers{Table: platform.ParseConfiguration, Fleet: endpoints.Parse, Pace: listPace, MaxPace: g.maxListPace()}
+	return published.Config{ParseTable: platform.ParseConfiguration, ParseFleet: endpoints.Parse, ApplyIntervalPerEndpoint: listPace, MaxApplyInterval: g.maxListPace()}
 }
 
 const (
@@ -54,7 +54,7 @@
 // waits of all entries that it goes through would add up.
 func (g *Gateway) onDeferred(until time.Time) {
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	g.applyLater(until)
 }
@@ -62,8 +62,8 @@
 // applyLater puts a list of endpoints into force that has to wait.
 func (g *Gateway) applyLater(at time.Time) {
 	time.AfterFunc(max(clock.Until(at), time.Millisecond), func() {
-		g.store.ApplyDue(clock.Now())
-		if again, ok := g.store.Due(); ok {
+		g.store.ApplyDeferred(clock.Now())
+		if again, ok := g.store.DeferredUntil(); ok {
 			g.applyLater(again)
 		}
 	})
@@ -79,7 +79,7 @@
 	}
 	g.log.Info("value in force", "name", ev.Name, "revision", ev.Revision, "source", ev.Source)
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	if ev.Name == published.Table {
 		// What the operators say of engines is part of the table.
@@ -250,7 +250,7 @@
 		g.evacuator.Leaving(g.work, e, noticed)
 	}
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 }
 
@@ -296,7 +296,7 @@
 func (g *Gateway) onStoreState(up bool, since time.Duration, err error) {
 	g.beliefs.SetStoreLost(!up)
 	if g.caughtUp.Load() {
-		g.exchange.Kick()
+		g.exchange.RequestRound()
 	}
 	if up {
 		g.log.Info("store regained", "away", since.Round(time.Millisecond))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -69,20 +69,20 @@
 mutant "notices: reading estimated" pkg/scheduler/versions.go 's/c.PrefillFromNotices = true/c.PrefillFromNotices = false/' ./pkg/scheduler
 mutant "notices: unknown engines elsewhere used" pkg/scheduler/versions.go 's/c.RequireRemoteReports = true/c.RequireRemoteReports = false/' ./pkg/scheduler
 mutant "notices: requests that wait not told" internal/peering/loads.go 's/toByte(rep.Waiting)/0/' ./internal/peering
-mutant "notices: loads told to all" internal/notices/notices.go 's/to = append(to, peers\[pick(len(peers))\])/to = append(to, peers...)/' ./internal/notices
+mutant "notices: loads told to all" internal/notices/notices.go 's/recipients = append(recipients, peers\[pick(len(peers))\])/recipients = append(recipients, peers...)/' ./internal/notices
 mutant "exchange: answers compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 1/' ./internal/peering
 mutant "exchange: large tables not compressed" internal/peering/client.go 's/^const compressFrom = 64 << 10/const compressFrom = 64 << 20/' ./internal/peering
 mutant "exchange: leaves repeated by all who hear" internal/peering/beliefs.go 's/if r.GetDataCenter() != b.view.Self().GetDataCenter() {/if true {/' ./internal/peering
-mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peersFirst = 150 \* time.Millisecond/peersFirst = time.Hour/' ./internal/controllers
+mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peerSyncTimeout = 150 \* time.Millisecond/peerSyncTimeout = time.Hour/' ./internal/controllers
 mutant "starts: store read though peers know" internal/controllers/catchup.go 's/if !c.Ready() {/if true {/' ./internal/controllers
 mutant "starts: old copy believed to be new" platform/store.go 's/^\tout.Revision = 0$//' "./internal/gateway -run TestTheFirstStart"
-mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPerSecond-n.sent)/count := len(peers)/' ./internal/notices
-mutant "store: read while the view settles" internal/controllers/load.go 's/if !pause.For(ctx, c.Settle)/if !pause.For(ctx, 0)/' ./internal/controllers
-mutant "store: a pause after a deaf watch" internal/controllers/config.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestAWatch"
+mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPromptNoticesPerSecond-n.sentInSecond)/count := len(peers)/' ./internal/notices
+mutant "store: read while the view settles" internal/controllers/load_poller.go 's/if !pause.For(ctx, c.StartDelay)/if !pause.For(ctx, 0)/' ./internal/controllers
+mutant "store: a pause after a deaf watch" internal/controllers/value_watcher.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestFailedWatch"
 mutant "store: deaf watches held on to" platform/published.go 's/WatchOverrun = 500 \* time.Millisecond/WatchOverrun = 2 * time.Second/' "./platform -run TestAWatch"
-mutant "store: all watchers wait long" internal/controllers/config.go 's/if c.FirstWait == 0 || /if true || /' "./internal/controllers -run TestTheFirstWatcher"
-mutant "store: each change read alone" internal/controllers/config.go 's/pause.For(ctx, jittered(c.spacing(now)))/pause.For(ctx, time.Millisecond)/' ./internal/controllers
-mutant "store: second watchers ask as often" internal/controllers/config.go 's/^\treturn c.SecondSpacing$/\treturn c.Spacing/' ./internal/controllers
+mutant "store: all watchers wait long" internal/controllers/value_watcher.go 's/c.MaxFirstWatcherWait == 0 || !first {/true || !first {/' "./internal/controllers -run TestFirstWatcher"
+mutant "store: each change read alone" internal/controllers/value_watcher.go 's/pause.For(ctx, jittered(c.watchSpacing(now)))/pause.For(ctx, time.Millisecond)/' ./internal/controllers
+mutant "store: second watchers ask as often" internal/controllers/value_watcher.go 's/^\treturn c.SecondaryWatchSpacing$/\treturn c.WatchSpacing/' ./internal/controllers
 mutant "resume: the caller's event not passed on" platform/headers.go 's/if s.Resume {/if false {/' "./internal/gateway -run TestACallerResumes"
 mutant "resume: broken streams not gone on with" pkg/retry/retry.go 's/if a.Released > 0 \&\& !a.Resumable/if a.Released > 0/' "./internal/gateway -run TestAResumable"
 mutant "resume: run again for nobody" pkg/retry/retry.go 's/ || a.Failure == CallerGone {/ {/' ./pkg/retry
@@ -150,7 +150,7 @@
 mutant "crashing requests: kept apart at one endpoint" pkg/quarantine/isolation.go 's/if assignments\[e\] > i\/len(endpoints) {/if assignments[e] > i {/' "./pkg/quarantine ./pkg/scheduler"
 mutant "crashing requests: others don't avoid" pkg/scheduler/isolation.go 's/return slices.DeleteFunc(slices.Clone(endpoints), func(e \*endpoint) bool { return avoided\[e\] })/return endpoints/' ./pkg/scheduler
 mutant "crashing requests: ends that others tell aren't counted" pkg/quarantine/event.go 's/if !known || endedAt.After(until) {/if known || !known || endedAt.After(until) {/' ./pkg/quarantine
-mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.findSeeds(ctx)$//' ./internal/controllers
+mutant "members: late seeds are not asked again" internal/controllers/controllers.go 's/^\tgo c.contactUnknownSeeds(ctx)$//' ./internal/controllers
 mutant "closed data centres: used" pkg/scheduler/scheduler.go 's/s.leaving\[spec.ID\] || spec.Closed/s.leaving[spec.ID]/' ./pkg/scheduler
 mutant "closed data centres: not told to others" pkg/fleet/registry.go 's/closed\[rec.ClosedDataCenter\] = true/closed[rec.ClosedDataCenter] = false/' "./internal/gateway -run TestAClosed"
 mutant "regions: not kept to" pkg/scheduler/regions.go 's/return len(allowed) == 0 || slices.Contains(allowed, region)/return true || slices.Contains(allowed, region)/' ./pkg/scheduler
@@ -205,9 +205,9 @@
 mutant "pauses: moved generations don't wait" internal/relay/pass.go 's/^\tp.awaitPause(ctx, h.Target)$/\t_ = p.awaitPause/' "./internal/gateway -run Pause"
 mutant "leaves: not taken from answers" internal/gateway/asks.go 's/if a.Leaving {/if false {/' "./internal/gateway -run Leav"
 mutant "leaves: forgotten with the record" pkg/drain/drain.go 's/if !hasIncarnation || now.Sub(s.unlistedSince\[endpoint\]) >= UnlistedRetention {/if hasIncarnation || !hasIncarnation {/' ./pkg/drain
-mutant "changes of the list: another result believed" internal/published/changes.go 's/ || xxhash.Sum64(v.Content) != v.Sum//' ./internal/published
-mutant "changes of the list: the whole never asked for" internal/published/published.go 's/if name != Fleet || !s.whole {/if true {/' ./internal/published
-mutant "changes of the list: always the whole" internal/published/changes.go 's/^\tif !changes || v.Name != Fleet/\tif true || v.Name != Fleet/' ./internal/published
+mutant "changes of the list: another result believed" internal/published/changes.go 's/ || xxhash.Sum64(v.Content) != v.ContentHash//' ./internal/published
+mutant "changes of the list: the whole never asked for" internal/published/published.go 's/if name != Fleet || !s.needsFullFleet {/if true {/' ./internal/published
+mutant "changes of the list: always the whole" internal/published/changes.go 's/^\tif !allowChanges || v.Name != Fleet/\tif true || v.Name != Fleet/' ./internal/published
 mutant "changes of the list: records of the list before in another's place" platform/published.go 's/if bytes.Equal(p.elements\[i\], element) {/if len(p.elements[i]) == len(element) {/' ./platform
 
 R="./internal/gateway -run AfterARestore"
@@ -222,9 +222,9 @@
 mutant "restores: a list of a later era that is the same is no news" pkg/fleet/registry.go 's/if asOf.Epoch() == r.revision.Epoch() \&\& maps/if maps/' ./pkg/fleet
 mutant "restores: values in doubt taken at once" pkg/register/register.go 's/ || now.Sub(r.uncertainSince) < r.settlePeriod//' "./pkg/register ./internal/published -run Restore"
 mutant "restores: values in doubt never taken" pkg/register/register.go 's/now.Sub(r.uncertainSince) < r.settlePeriod/now.After(r.uncertainSince)/' ./pkg/register
-mutant "restores: values in doubt not looked at again" internal/published/published.go 's/if p := s.pending\[name\]; certain/if p := s.pending[name]; !certain/' "./internal/published -run Doubt"
+mutant "restores: values in doubt not looked at again" internal/published/published.go 's/if p := s.pending\[name\]; certain/if p := s.pending[name]; !certain/' "./internal/published -run Pending"
 mutant "restores: what is told counts as read" pkg/register/register.go 's/if source == FromStore \&\& r.uncertainSince/if r.uncertainSince/' ./pkg/register
-mutant "restores: whatever is told is certain" internal/published/published.go 's/if v.Certain {/if true {/' "./internal/published -run Own"
+mutant "restores: whatever is told is certain" internal/published/published.go 's/if v.Certain {/if true {/' "./internal/published -run NativeTables"
 mutant "restores: certainty isn't passed on" internal/peering/convert.go 's/Certain: d.GetCertain()}/Certain: false}/' "./internal/peering -run Certain"
 mutant "restores: what had left is used" pkg/fleet/restore.go 's/if r.excluded\[e.Instance()\] {/if false {/' "./pkg/fleet ./internal/gateway -run AnEndpointGone"
 mutant "restores: most of a target kept out" pkg/fleet/restore.go 's/return removed\[target\] > maxRemovedRatio\*active\[target\]/return false/' ./pkg/fleet
@@ -234,10 +234,10 @@
 mutant "restores: a rewind without a new era not noticed" pkg/revision/revision.go 's/id.Number() < previous.Number() \&\& previous.Rewinds() < MaxRewinds/false/' "./pkg/revision ./internal/gateway -run Given|RewindStarts"
 mutant "restores: rewinds that others noticed not followed" pkg/revision/revision.go 's/peers.Epoch() > previous.Epoch()/false/' "./pkg/revision -run RewindStarts"
 mutant "restores: a watch beyond what the store has goes on" platform/store.go 's/at < since.Number()/at < 1/' "./platform -run TestAWatchBeyond"
-mutant "store: nobody stands in for watchers that lost it" internal/controllers/config.go 's/above < 2\*Watchers && reading < Watchers/false/' "./internal/gateway -run WatchersAreCutOff"
+mutant "store: nobody stands in for watchers that lost it" internal/controllers/value_watcher.go 's/higherRanked < 2\*WatchersPerDataCenter \&\& higherActive < WatchersPerDataCenter/false/' "./internal/gateway -run WatchersAreCutOff"
 mutant "store: a lost store is not declared" internal/gateway/beliefs.go 's/g.beliefs.SetStoreLost(!up)/_ = up/' "./internal/gateway -run WatchersAreCutOff"
-mutant "lists: each comes into force at once" internal/published/pacing.go 's/if !now.Before(s.paced.next) {/if true {/' "./internal/published -run Lists"
-mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(before.Content, v.Content, v.Revision.Number())/return nil, errNoChanges/' "./internal/published -run Whole"
+mutant "lists: each comes into force at once" internal/published/pacing.go 's/if !now.Before(s.pacer.nextApply) {/if true {/' "./internal/published -run NotQuadratic"
+mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(previous.Content, v.Content, v.Revision.Number())/return nil, errChangesUnknown/' "./internal/published -run FullList"
 mutant "reads: idle engines read as often as others" internal/peering/homes.go 's/case !b.stillIdle(now, e.Instance()):/default:/' "./internal/peering -run Reads"
 mutant "reads: told prompts do not end idleness" pkg/scheduler/remote_load.go 's/e.ownRunning == 0 \&\& e.peersRunning == 0 \&\& s.pendingPrefillTokens(now, e) == 0/e.ownRunning == 0/' "./internal/peering -run Idle"
 mutant "lists: what waits is not passed on" internal/gateway/beliefs.go 's/^\tg.applyLater(until)$/\tg.applyLater(until)\n\tselect {\n\tcase <-g.exchange.Kicked:\n\tdefault:\n\t}/' "./internal/gateway -run ListThatWaits"
