--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -105,7 +105,7 @@
 		return
 	}
 	now := clock.Now()
-	g.grace.Forget(held.Value.BadRecords())
+	g.grace.Remove(held.Value.BadRecords())
 	bridged := g.restored.Apply(now, g.noticed, held.Revision.Epoch(), held.Value.Endpoints, held.Value.ClosedDataCenters())
 	g.logBridged(bridged, held.Revision)
 	use, lapsed := g.grace.Apply(now, bridged.Endpoints, bridged.FirstAfterRestore)
--- a/pkg/fleet/changes.go
+++ b/pkg/fleet/changes.go
@@ -29,8 +29,8 @@
 }
 
 // ChangesAfter returns the changes with a revision above the given one, without those that are
-// out of order. Several changes can have the same revision: deletions whose own revision is
-// unknown, see Diff.
+// out of order. Several changes can have the same revision if they are deletions whose own
+// revision is unknown, see Diff.
 func ChangesAfter(changes []Record, revision uint64) []Record {
 	newest := revision
 	var later []Record
@@ -90,9 +90,9 @@
 }
 
 // Diff returns the changes from one encoded registry to a later one of the same epoch, ordered by
-// revision. The revisions at which missing records were deleted are unknown, so their deletions
-// get the given revision, which is that of the later registry. Only records that differ are
-// decoded.
+// revision. Records that the later registry lacks were deleted at unknown revisions, so their
+// deletions get the given revision, which is that of the later registry. Only records that differ
+// are decoded.
 func Diff(earlier, later []byte, revision uint64) ([]Record, error) {
 	oldElements, err := SplitRecords(earlier)
 	if err != nil {
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -68,7 +68,8 @@
 	Address string `json:"address"`
 	// Targets are the models, or the service, that it serves.
 	Targets []string `json:"targets"`
-	// Incarnation increases whenever the platform replaces the endpoint.
+	// Incarnation identifies the instance of the endpoint. It increases with each start, unless the
+	// endpoint's clock was set back. See Instance.HasIncarnation for unknown ones.
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"state"`
 	// CapacityTokens is the size of the KV cache in tokens; zero for plain services.
@@ -89,8 +90,8 @@
 	Closed bool `json:"-"`
 }
 
-// ColdLimit is the request rate that endpoints of a target can take while they are cold, which
-// can follow a start or happen at any other time. The zero value is no limit.
+// ColdLimit is the request rate that endpoints of a target can take while they are cold, after a
+// start or at any other time. The zero value is no limit.
 type ColdLimit struct {
 	// Duration is how long they are cold.
 	Duration time.Duration
@@ -180,8 +181,8 @@
 	findings Findings
 }
 
-func (c *checker) add(place, format string, args ...any) {
-	c.findings = append(c.findings, fmt.Sprintf("%s: %s: %s", c.name, place, fmt.Sprintf(format, args...)))
+func (c *checker) add(path, format string, args ...any) {
+	c.findings = append(c.findings, fmt.Sprintf("%s: %s: %s", c.name, path, fmt.Sprintf(format, args...)))
 }
 
 func (c *checker) list(l *List) {
@@ -200,71 +201,71 @@
 	}
 }
 
-func (c *checker) id(place, id string, seen map[string]bool) {
+func (c *checker) id(path, id string, seen map[string]bool) {
 	if id == "" {
-		c.add(place, "id is empty")
+		c.add(path, "id is empty")
 	}
 	if seen[id] {
-		c.add(place, "id %q is used twice", id)
+		c.add(path, "id %q is used twice", id)
 	}
 	seen[id] = true
 }
 
-func (c *checker) address(place, field, v string) {
+func (c *checker) address(path, field, v string) {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		c.add(place, "%s %q is not IP:port", field, v)
+		c.add(path, "%s %q is not IP:port", field, v)
 	}
 }
 
-func (c *checker) state(place string, s State) {
+func (c *checker) state(path string, s State) {
 	if s != Live && s != Leaving {
-		c.add(place, "state %q is neither %s nor %s", s, Live, Leaving)
+		c.add(path, "state %q is neither %s nor %s", s, Live, Leaving)
 	}
 }
 
-func (c *checker) vm(place string, vm VM, seen map[string]bool) {
-	c.id(place, vm.ID, seen)
-	c.address(place, "peer", vm.Peer)
-	c.state(place, vm.State)
+func (c *checker) vm(path string, vm VM, seen map[string]bool) {
+	c.id(path, vm.ID, seen)
+	c.address(path, "peer", vm.Peer)
+	c.state(path, vm.State)
 	if vm.Role != RoleEntry {
-		c.add(place, "role %q is not %s", vm.Role, RoleEntry)
+		c.add(path, "role %q is not %s", vm.Role, RoleEntry)
 	}
 	if vm.DataCenter == "" {
-		c.add(place, "data_center is empty")
+		c.add(path, "data_center is empty")
 	}
 }
 
-func (c *checker) endpoint(place string, e Endpoint, seen map[string]bool) {
-	c.id(place, e.ID, seen)
-	c.address(place, "address", e.Address)
-	c.state(place, e.State)
+func (c *checker) endpoint(path string, e Endpoint, seen map[string]bool) {
+	c.id(path, e.ID, seen)
+	c.address(path, "address", e.Address)
+	c.state(path, e.State)
 	if e.DataCenter == "" {
-		c.add(place, "data_center is empty")
+		c.add(path, "data_center is empty")
 	}
 	if e.Type != Engine && e.Type != Service {
-		c.add(place, "type %q is neither %s nor %s", e.Type, Engine, Service)
+		c.add(path, "type %q is neither %s nor %s", e.Type, Engine, Service)
 	}
 	if e.Type == Engine && e.CapacityTokens <= 0 {
-		c.add(place, "capacity_tokens is not above 0")
+		c.add(path, "capacity_tokens is not above 0")
 	}
 	if e.MaxRunning <= 0 {
-		c.add(place, "max_running is not above 0")
+		c.add(path, "max_running is not above 0")
 	}
 	if len(e.Targets) == 0 || slices.Contains(e.Targets, "") {
-		c.add(place, "targets is empty or holds an empty name")
+		c.add(path, "targets is empty or holds an empty name")
 	}
 }
 
-func (c *checker) workspace(place string, w Workspace, byKey map[string]string) {
+func (c *checker) workspace(path string, w Workspace, byKey map[string]string) {
 	if w.Name == "" {
-		c.add(place, "name is empty")
+		c.add(path, "name is empty")
 	}
 	for _, k := range w.KeysSHA256 {
 		if raw, err := hex.DecodeString(k); err != nil || len(raw) != sha256.Size {
-			c.add(place, "%q is not a SHA-256 digest in hexadecimal", k)
+			c.add(path, "%q is not a SHA-256 digest in hexadecimal", k)
 		}
-		if other, twice := byKey[strings.ToLower(k)]; twice {
-			c.add(place, "key digest is already used by %q", other)
+		if other, used := byKey[strings.ToLower(k)]; used {
+			c.add(path, "key digest is already used by %q", other)
 		}
 		byKey[strings.ToLower(k)] = w.Name
 	}
--- a/pkg/fleet/instance.go
+++ b/pkg/fleet/instance.go
@@ -10,7 +10,7 @@
 // about an endpoint belongs to one instance and doesn't carry over to the next:
 //
 //	[instance 1] --restart under the same id--> [instance 2] --...
-//	reports of instance 1 apply until here      reports apply to instance 2 only
+//	reports of instance 1 apply                 only reports of instance 2 apply
 type Instance struct {
 	Endpoint    string
 	Incarnation uint64
@@ -35,7 +35,7 @@
 //
 // Endpoints write their own records, so the last write of an instance can reach the list after
 // the first write of the next instance. The stale record is listed until the next instance
-// writes again, which it does shortly. Using it would end a healthy instance: its streams would
+// renews its record, shortly afterwards. Using it would end a healthy instance: its streams would
 // be treated as lost, or be moved if the stale record is in state leaving. So the record of the
 // later instance is used instead, for at most SuppressionPeriod. A record that is listed for
 // longer isn't stale: the endpoint's clock was set back between two starts, and the record with
--- a/pkg/fleet/instance_test.go
+++ b/pkg/fleet/instance_test.go
@@ -9,8 +9,8 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// newInstance returns an endpoint with a known incarnation.
-func newInstance(id string, incarnation uint64, state fleet.State) fleet.Endpoint {
+// newEndpoint returns an endpoint with a known incarnation.
+func newEndpoint(id string, incarnation uint64, state fleet.State) fleet.Endpoint {
 	return fleet.Endpoint{ID: id, Incarnation: incarnation, State: state, Targets: []string{"t"}}
 }
 
@@ -27,21 +27,21 @@
 		g.Expect(effective).To(HaveLen(1))
 		return effective[0], reapplyAt
 	}
-	apply(0, newInstance("a", 100, fleet.Live))
-	second := newInstance("a", 200, fleet.Live)
+	apply(0, newEndpoint("a", 100, fleet.Live))
+	second := newEndpoint("a", 200, fleet.Live)
 	effective, reapplyAt := apply(0, second)
 	g.Expect(effective).To(Equal(second), "a later instance is used at once")
 	g.Expect(reapplyAt.IsZero()).To(BeTrue())
 
-	stale := newInstance("a", 100, fleet.Leaving)
+	stale := newEndpoint("a", 100, fleet.Leaving)
 	effective, reapplyAt = apply(time.Second, stale)
 	g.Expect(effective).To(Equal(second))
 	g.Expect(reapplyAt).To(Equal(now.Add(3 * time.Second)))
 	effective, reapplyAt = apply(2*time.Second, stale)
 	g.Expect(effective).To(Equal(second))
 	g.Expect(reapplyAt).To(Equal(now.Add(3*time.Second)), "other changes of the list don't extend the suppression")
-	effective, _ = apply(2500*time.Millisecond, newInstance("a", 200, fleet.Leaving))
-	g.Expect(effective.State).To(Equal(fleet.Leaving), "the later instance has written again")
+	effective, _ = apply(2500*time.Millisecond, newEndpoint("a", 200, fleet.Leaving))
+	g.Expect(effective.State).To(Equal(fleet.Leaving), "the later instance has renewed its record")
 	effective, reapplyAt = apply(2600*time.Millisecond, stale)
 	g.Expect(effective.Incarnation).To(Equal(uint64(200)))
 	g.Expect(reapplyAt).To(Equal(now.Add(4600*time.Millisecond)), "a second stale record has its own suppression period")
@@ -49,7 +49,7 @@
 	effective, reapplyAt = apply(5*time.Second, stale)
 	g.Expect(effective).To(Equal(stale), "it is still listed: the clock was set back")
 	g.Expect(reapplyAt.IsZero()).To(BeTrue())
-	effective, _ = apply(6*time.Second, newInstance("a", 100, fleet.Live))
+	effective, _ = apply(6*time.Second, newEndpoint("a", 100, fleet.Live))
 	g.Expect(effective.State).To(Equal(fleet.Live), "and is used from then on")
 }
 
@@ -59,9 +59,9 @@
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	filter := fleet.StaleRecordFilter{SuppressionPeriod: 2 * time.Second}
-	filter.Apply(now, listOf(newInstance("a", 200, fleet.Live)))
+	filter.Apply(now, listOf(newEndpoint("a", 200, fleet.Live)))
 	filter.Apply(now, nil)
-	effective, reapplyAt := filter.Apply(now, listOf(newInstance("a", 100, fleet.Live)))
+	effective, reapplyAt := filter.Apply(now, listOf(newEndpoint("a", 100, fleet.Live)))
 	g.Expect(effective[0].Incarnation).To(Equal(uint64(100)))
 	g.Expect(reapplyAt.IsZero()).To(BeTrue())
 }
@@ -72,11 +72,11 @@
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	retention := fleet.EndpointRetention{GracePeriod: 2 * time.Second}
-	initial := []fleet.Endpoint{newInstance("a", 100, fleet.Live), newInstance("b", 100, fleet.Live), newInstance("c", 100, fleet.Live)}
+	initial := []fleet.Endpoint{newEndpoint("a", 100, fleet.Live), newEndpoint("b", 100, fleet.Live), newEndpoint("c", 100, fleet.Live)}
 	retention.Apply(now, initial, false)
 	effective, _ := retention.Apply(now, initial[:1], false)
 	g.Expect(effective).To(HaveLen(3), "two of three disappeared together")
-	next := []fleet.Endpoint{initial[0], newInstance("b", 200, fleet.Live)}
+	next := []fleet.Endpoint{initial[0], newEndpoint("b", 200, fleet.Live)}
 	effective, _ = retention.Apply(now.Add(time.Second), next, false)
 	g.Expect(effective).To(ConsistOf(next[0], next[1], initial[2]))
 	effective, _ = retention.Apply(now.Add(1500*time.Millisecond), initial[:1], false)
--- a/pkg/fleet/registry.go
+++ b/pkg/fleet/registry.go
@@ -101,8 +101,9 @@
 	return true
 }
 
-// equalRecords reports whether two records of one epoch are equal. It compares the contents too,
-// since a list that may be stale can be of the previous era.
+// equalRecords reports whether two records of one epoch are equal. It compares the contents too:
+// a stale read can return records of the previous era, in which the same revision numbers can
+// belong to other changes.
 func equalRecords(a, b Record) bool {
 	return a.Revision == b.Revision && bytes.Equal(a.Content, b.Content)
 }
@@ -162,9 +163,9 @@
 //
 // Two records can have the same address: an address can be reassigned soon after an endpoint
 // has terminated. Neither record is excluded, since a record doesn't prove which endpoint is at
-// the address, and a forged record could claim the address of a valid one. Each request
-// names the endpoint that it is for. A request for the one that isn't there costs an attempt
-// that provably hasn't run, and shows that the endpoint has terminated.
+// the address, and a forged record could claim the address of a valid one. Each request names
+// the endpoint that it is for. A request for the endpoint that is no longer at the address costs
+// an attempt that provably hasn't run, and shows that this endpoint has terminated.
 func FromRecords(records []Record, parse func(id string, content []byte) (Endpoint, error)) (*List, []BadRecord) {
 	endpoints := make([]Endpoint, 0, len(records))
 	var bad []BadRecord
@@ -215,9 +216,9 @@
 //
 // Whether endpoints publish an incarnation depends on the platform, so either all endpoints of a
 // target do or none does. A single record by another writer therefore can't exclude valid
-// endpoints: if none of them has an incarnation, the record is one of at least two, which is no
-// majority; if all have one, the rule doesn't apply to them. A foreign record without an
-// incarnation isn't detected if the target has only one valid endpoint.
+// endpoints. If none of them has an incarnation, a foreign record with one is at most half of the
+// target's records, which is no majority. If all have one, the rule doesn't apply to them. A
+// foreign record without an incarnation isn't detected if the target has only one valid endpoint.
 func excludeMissingIncarnations(endpoints []Endpoint) (included []Endpoint, excluded []BadRecord) {
 	missing, known := map[string]int{}, map[string]int{}
 	for _, e := range endpoints {
--- a/pkg/fleet/registry_test.go
+++ b/pkg/fleet/registry_test.go
@@ -81,13 +81,13 @@
 
 func TestBadRecordsAreExcludedAndReported(t *testing.T) {
 	g := NewWithT(t)
-	list, findings := fleet.FromRecords([]fleet.Record{newRecord("a", 1), newRecord("b", 2)}, func(id string, _ []byte) (fleet.Endpoint, error) {
+	list, badRecords := fleet.FromRecords([]fleet.Record{newRecord("a", 1), newRecord("b", 2)}, func(id string, _ []byte) (fleet.Endpoint, error) {
 		if id == "a" {
 			return fleet.Endpoint{}, fmt.Errorf("bad")
 		}
 		return fleet.Endpoint{ID: id}, nil
 	})
-	g.Expect(findings).To(HaveLen(1))
+	g.Expect(badRecords).To(HaveLen(1))
 	_, ok := list.Endpoint("b")
 	g.Expect(ok).To(BeTrue())
 	g.Expect(list.Endpoints).To(HaveLen(1))
@@ -140,7 +140,7 @@
 }
 
 // TestEndpointsWithBadRecordsAreNotRetained checks that bad records don't count as lapsed, however
-// many there are, and that an endpoint isn't retained any longer when its record returns bad.
+// many there are, and that an endpoint isn't retained any longer when it has a bad record.
 func TestEndpointsWithBadRecordsAreNotRetained(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -153,20 +153,20 @@
 	}
 	retention := fleet.EndpointRetention{GracePeriod: 2 * time.Second}
 	retention.Apply(now, endpoints("a", "b", "c", "d"), false)
-	retention.Forget(badRecords("a", "b", "c"))
+	retention.Remove(badRecords("a", "b", "c"))
 	effective, reapplyAt := retention.Apply(now, endpoints("d"), false)
 	g.Expect(ids(effective)).To(ConsistOf("d"))
 	g.Expect(reapplyAt.IsZero()).To(BeTrue())
 
 	retention.Apply(now, endpoints("a", "b", "c", "d"), false)
-	retention.Forget(badRecords("a"))
+	retention.Remove(badRecords("a"))
 	effective, _ = retention.Apply(now, endpoints("b", "c"), false)
 	g.Expect(ids(effective)).To(ConsistOf("b", "c"), "one of b, c and d disappeared, which is less than half")
 
 	retention.Apply(now, endpoints("a", "b", "c", "d"), false)
 	effective, _ = retention.Apply(now, endpoints("d"), false)
 	g.Expect(ids(effective)).To(ConsistOf("a", "b", "c", "d"))
-	retention.Forget(badRecords("b"))
+	retention.Remove(badRecords("b"))
 	effective, _ = retention.Apply(now.Add(time.Second), endpoints("d"), false)
 	g.Expect(ids(effective)).To(ConsistOf("a", "c", "d"))
 	effective, _ = retention.Apply(now.Add(time.Second), endpoints("b", "d"), false)
--- a/pkg/fleet/restore.go
+++ b/pkg/fleet/restore.go
@@ -22,7 +22,7 @@
 //
 // Each rule ends with a list that any entry has first read at least one grace period after the
 // restore was detected, since that list contains all that was written again. Without such a
-// list, as while nothing changes or at an entry that is partitioned, the rule ends after two
+// list, for example while nothing changes or at an entry that is cut off, the rule ends after two
 // grace periods.
 //
 // The caller serialises calls.
--- a/pkg/fleet/restore_test.go
+++ b/pkg/fleet/restore_test.go
@@ -40,9 +40,9 @@
 	g.Expect(reapplyAt.IsZero()).To(BeTrue())
 }
 
-// TestListReadBeforeGracePeriodKeepsExclusions checks an entry that is partitioned and doesn't
-// receive what is written again after a restore: a list read before the grace period has elapsed
-// doesn't end the exclusions, twice the grace period does.
+// TestListReadBeforeGracePeriodKeepsExclusions checks an entry that is cut off and doesn't receive
+// what is written again after a restore: a list read before the grace period has elapsed doesn't
+// end the exclusions, twice the grace period does.
 func TestListReadBeforeGracePeriodKeepsExclusions(t *testing.T) {
 	g := NewWithT(t)
 	r := &fleet.RestoreReconciler{EndpointGracePeriod: 5 * time.Second, ClosedGracePeriod: 5 * time.Second}
@@ -100,9 +100,9 @@
 	g := NewWithT(t)
 	r := &fleet.RestoreReconciler{EndpointGracePeriod: 5 * time.Second, ClosedGracePeriod: 5 * time.Second}
 	now := time.Unix(1000, 0)
-	applyAndActivate(r, now, 1, append(endpoints("b"), newInstance("a", 100, fleet.Live)), nil)
+	applyAndActivate(r, now, 1, append(endpoints("b"), newEndpoint("a", 100, fleet.Live)), nil)
 	applyAndActivate(r, now, 1, endpoints("b"), nil)
-	result := applyAndActivate(r, now, 2, append(endpoints("b"), newInstance("a", 200, fleet.Live)), nil)
+	result := applyAndActivate(r, now, 2, append(endpoints("b"), newEndpoint("a", 200, fleet.Live)), nil)
 	g.Expect(ids(result.Endpoints)).To(ConsistOf("a", "b"))
 }
 
@@ -128,8 +128,8 @@
 	const gracePeriod = 5 * time.Second
 	r := &fleet.RestoreReconciler{EndpointGracePeriod: gracePeriod, ClosedGracePeriod: gracePeriod}
 	now := time.Unix(1000, 0)
-	closedAfter := func(after time.Duration, era uint64, listed ...string) []string {
-		return applyAndActivate(r, now.Add(after), era, endpoints("a"), listed).ClosedDataCenters
+	closedAfter := func(elapsed time.Duration, era uint64, listed ...string) []string {
+		return applyAndActivate(r, now.Add(elapsed), era, endpoints("a"), listed).ClosedDataCenters
 	}
 	g.Expect(closedAfter(0, 1, "x", "y")).To(Equal([]string{"x", "y"}))
 	g.Expect(closedAfter(time.Second, 1, "x")).To(Equal([]string{"x"}), "opened again")
--- a/pkg/fleet/retention.go
+++ b/pkg/fleet/retention.go
@@ -10,7 +10,7 @@
 // Endpoints can't renew their records while the platform's store is unavailable, so many
 // of them can disappear from the list together although they are running. They are listed
 // again soon after the store recovers. An endpoint that disappears is therefore retained
-// for GracePeriod if fewer than half of the live endpoints of its target remain after
+// for GracePeriod if fewer than half of the live endpoints of its first target remain after
 // all disappearances of the same update. The only live endpoint of a target is removed at
 // once, and so is an endpoint when at least half of its target remains. After a restore of
 // the store from a copy, every live endpoint that disappears with it is retained: the copy
@@ -28,9 +28,9 @@
 }
 
 // Apply returns the effective endpoints for a published list: those listed and those retained.
-// The caller must not change them. Restored marks the first list after a restore of the store.
-// If endpoints are retained, reapplyAt is when to apply the same list again; otherwise it is
-// zero.
+// The caller must not change them. The argument restored is set for the first list after a restore
+// of the store. If endpoints are retained, reapplyAt is when to apply the same list again;
+// otherwise it is zero.
 func (r *EndpointRetention) Apply(now time.Time, published []Endpoint, restored bool) (effective []Endpoint, reapplyAt time.Time) {
 	if r.latest == nil {
 		r.latest = map[string]*Endpoint{}
@@ -59,9 +59,9 @@
 	return effective, reapplyAt
 }
 
-// Forget removes endpoints whose records exist but are invalid. These records haven't lapsed,
+// Remove removes endpoints whose records exist but are invalid. These records haven't lapsed,
 // so the endpoints are neither retained nor counted as disappeared.
-func (r *EndpointRetention) Forget(badRecords []BadRecord) {
+func (r *EndpointRetention) Remove(badRecords []BadRecord) {
 	for _, b := range badRecords {
 		delete(r.latest, b.ID)
 		delete(r.retainedUntil, b.ID)
