--- a/pkg/register/register.go
+++ b/pkg/register/register.go
@@ -24,8 +24,8 @@
 //
 // A number above the one in force is no proof, since the copy can be of an earlier era. Elapsed
 // time is proof only if this process has read the store meanwhile: a peer that sends a value from
-// the copy may have been partitioned since. Registers of values that their publisher numbers need
-// none of this, see New.
+// the copy may have been partitioned from the store since. Registers of values that their
+// publisher numbers need none of this, see New.
 //
 // The caller serialises calls, except for Current, which may be called from any goroutine.
 package register
@@ -93,8 +93,8 @@
 // Register holds one published value.
 type Register[T any] struct {
 	check func([]byte) (T, error)
-	// settlePeriod is how long a value of a later era must stay current in the store to be certain.
-	// Zero disables the rules for restores.
+	// settlePeriod is how long a value of a later era must remain the newest in the store to be
+	// certain. Zero disables the rules for restores.
 	settlePeriod time.Duration
 	// certain is set if the newest value seen is known to be written in its era.
 	certain bool
@@ -117,7 +117,7 @@
 }
 
 // NewSettling returns an empty register of values that only the store's revisions order. A value
-// of a later era is certain after it has been current in the store for settlePeriod.
+// of a later era is certain after it has been the newest in the store for settlePeriod.
 func NewSettling[T any](check func([]byte) (T, error), settlePeriod time.Duration) *Register[T] {
 	r := New(check)
 	r.settlePeriod = settlePeriod
@@ -130,8 +130,8 @@
 // HighestRevision returns the highest revision seen, valid or not.
 func (r *Register[T]) HighestRevision() revision.ID { return r.highest }
 
-// Findings returns the newest rejected revision and the problems found in it. The
-// error is nil if a valid revision has followed.
+// Findings returns the newest rejected revision and the problems found in the newest rejected
+// value, which may have no revision. The error is nil if a valid revision has followed.
 func (r *Register[T]) Findings() (rev revision.ID, err error) { return r.rejected, r.findings }
 
 // LastOffered returns when a value was last offered, new or not.
@@ -172,8 +172,8 @@
 	return Adopted, nil
 }
 
-// classify returns whether a value is newer than those seen (Adopted), older (Stale) or neither
-// for sure (Pending), and whether it is certain that it was written in its era.
+// classify returns whether a value is newer than those seen (Adopted), older (Stale) or of unknown
+// order (Pending), and whether it is certain that it was written in its era.
 func (r *Register[T]) classify(rev revision.ID, content []byte, source Source) (verdict Verdict, certain bool) {
 	if rev <= r.highest {
 		return Stale, false
@@ -195,7 +195,8 @@
 	return Pending, false
 }
 
-// recordUncertain records a value that isn't certain.
+// recordUncertain records the revision of a value that isn't certain, and when this process first
+// read it from the store.
 func (r *Register[T]) recordUncertain(now time.Time, rev revision.ID, source Source) {
 	if rev != r.uncertain {
 		r.uncertain, r.uncertainSince = rev, time.Time{}
@@ -209,8 +210,8 @@
 func (r *Register[T]) Certain() bool { return r.certain }
 
 // Settle must be called when the store has just been read and contains no newer value than the
-// ones offered. An uncertain value that has been current for settlePeriod is then certain. If it
-// is pending, Settle returns its revision and true, and the caller must offer it again as
+// ones offered. An uncertain value that has been the newest for settlePeriod is then certain. If
+// it is pending, Settle returns its revision and true, and the caller must offer it again as
 // FromPeerCertain.
 func (r *Register[T]) Settle(now time.Time) (pending revision.ID, certain bool) {
 	if r.uncertainSince.IsZero() || now.Sub(r.uncertainSince) < r.settlePeriod {
--- a/pkg/register/register_test.go
+++ b/pkg/register/register_test.go
@@ -96,8 +96,8 @@
 }
 
 // TestPeerValueIsAdoptedOnlyIfCertain checks that a peer's value of a later era is adopted only if
-// the peer is certain. Elapsed time isn't enough, since the peer may have been partitioned since
-// it read a restored store.
+// the peer is certain. Elapsed time isn't enough, since the peer may have been partitioned from
+// the store since it read the restored copy.
 func TestPeerValueIsAdoptedOnlyIfCertain(t *testing.T) {
 	g := NewWithT(t)
 	r := register.NewSettling(func(b []byte) (string, error) { return string(b), nil }, time.Second)
