--- a/pkg/revision/revision.go
+++ b/pkg/revision/revision.go
@@ -10,8 +10,8 @@
 // Stores that report no era are in era 0, where an ID equals the number.
 //
 // A store can also be rewound without a new era. Consecutive responses show this, since numbers
-// only increase otherwise; see ID.WithRewinds. The ID counts rewinds between the era and the
-// number. Era and rewinds together are the epoch. Numbers are ordered within an epoch.
+// never decrease otherwise; see ID.WithRewinds. The bits between the era and the number count the
+// rewinds. Era and rewinds together are the epoch. Numbers are ordered within an epoch.
 package revision
 
 import (
@@ -56,14 +56,14 @@
 
 // WithRewinds returns the revision of a store's response with the rewinds of the store counted.
 // The receiver has the era and number that the store returned, previous is the revision of its
-// previous response to the same reader, and peers is the newest revision received from other
-// readers. A number below the previous one in the same era shows that the store was rewound and
-// reuses numbers, so the response is in the next epoch. A later epoch received from peers in the
-// same era is adopted. Rewinds beyond MaxRewinds aren't detected.
-func (id ID) WithRewinds(previous, peers ID) ID {
+// previous response to the same reader, and peerRevision is the newest revision received from
+// peers, which are the other readers. A number below the previous one in the same era shows that
+// the store was rewound and reuses numbers, so the response is in the next epoch. A later epoch
+// received from peers in the same era is adopted. Rewinds beyond MaxRewinds aren't detected.
+func (id ID) WithRewinds(previous, peerRevision ID) ID {
 	switch {
-	case peers.Era() == id.Era() && peers.Epoch() > previous.Epoch():
-		return peers.WithNumber(id.Number())
+	case peerRevision.Era() == id.Era() && peerRevision.Epoch() > previous.Epoch():
+		return peerRevision.WithNumber(id.Number())
 	case previous.Era() != id.Era():
 		return id
 	case id.Number() < previous.Number() && previous.Rewinds() < MaxRewinds:
--- a/pkg/revision/rewind_test.go
+++ b/pkg/revision/rewind_test.go
@@ -28,7 +28,7 @@
 	g.Expect(rewound.String()).To(Equal("3+1.13"))
 	g.Expect(newID(3, 16).WithRewinds(rewound, 0)).To(Equal(rewound.WithNumber(16)))
 
-	g.Expect(newID(3, 14).WithRewinds(previous, rewound)).To(Equal(rewound.WithNumber(14)), "peers have detected the rewind first, once")
+	g.Expect(newID(3, 14).WithRewinds(previous, rewound)).To(Equal(rewound.WithNumber(14)), "peers have already detected the same rewind, which counts only once")
 	g.Expect(newID(3, 25).WithRewinds(previous, rewound)).To(Equal(rewound.WithNumber(25)))
 	g.Expect(newID(4, 2).WithRewinds(previous, rewound)).To(Equal(newID(4, 2)))
 	g.Expect(newID(3, 14).WithRewinds(previous, previous)).To(Equal(rewound.WithNumber(14)))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -232,7 +232,7 @@
 mutant "restores: what the copy lacks is gone" pkg/fleet/retention.go 's/retainAll || liveBefore\[t\] > 1/liveBefore[t] > 1/' "./pkg/fleet ./internal/gateway -run Copy"
 mutant "restores: fencing numbers go back" pkg/fencing/fencing.go 's/Fencing: uint64(snapshot.Revision), Desired/Fencing: snapshot.Revision.Number(), Desired/' ./pkg/fencing
 mutant "restores: a rewind without a new era not noticed" pkg/revision/revision.go 's/id.Number() < previous.Number() \&\& previous.Rewinds() < MaxRewinds/false/' "./pkg/revision ./internal/gateway -run Given|RewindStarts"
-mutant "restores: rewinds that others noticed not followed" pkg/revision/revision.go 's/peers.Epoch() > previous.Epoch()/false/' "./pkg/revision -run RewindStarts"
+mutant "restores: rewinds that others noticed not followed" pkg/revision/revision.go 's/peerRevision.Epoch() > previous.Epoch()/false/' "./pkg/revision -run RewindStarts"
 mutant "restores: a watch beyond what the store has goes on" platform/store.go 's/at < since.Number()/at < 1/' "./platform -run TestAWatchBeyond"
 mutant "store: nobody stands in for watchers that lost it" internal/controllers/config.go 's/above < 2\*Watchers && reading < Watchers/false/' "./internal/gateway -run WatchersAreCutOff"
 mutant "store: a lost store is not declared" internal/gateway/beliefs.go 's/g.beliefs.SetStoreLost(!up)/_ = up/' "./internal/gateway -run WatchersAreCutOff"
