--- a/pkg/drain/drain.go
+++ b/pkg/drain/drain.go
@@ -1,7 +1,7 @@
 // Package drain records which incarnations of endpoints must not get new work.
 //
 // It supports the guarantee that a leaving endpoint receives no new work after a
-// few seconds. A leave is learnt from the published list, from the endpoint's own
+// few seconds. A leave comes from the published list, from the endpoint's own
 // refusal or draining signal, or from a peer. It is stored by endpoint and
 // incarnation, so that a stale list can't return the endpoint to service, while a
 // higher incarnation can, or a lower one that the list changes to (see
@@ -19,7 +19,7 @@
 )
 
 // UnlistedRetention is how long the state of an endpoint is retained after it was last listed.
-// Records lapse while the store is unavailable and are restored unchanged afterwards. Without the
+// Records lapse while the store is unavailable and reappear unchanged afterwards. Without the
 // retention, an endpoint that has announced its leave would get work again.
 const UnlistedRetention = 2 * time.Minute
 
@@ -49,7 +49,8 @@
 	return &Set{leaves: map[string]uint64{}, highest: map[string]uint64{}, listed: map[string]uint64{}, obsolete: map[string]uint64{}, unlistedSince: map[string]time.Time{}}
 }
 
-// Add records a leave and reports whether it was new. Leaves of ended incarnations are ignored.
+// Add records a leave and reports whether it was new. Leaves of terminated incarnations are
+// ignored.
 func (s *Set) Add(l Leave) bool {
 	if l.Incarnation != s.listed[l.Endpoint] && l.Incarnation <= s.obsolete[l.Endpoint] {
 		return false
@@ -65,8 +66,7 @@
 	return true
 }
 
-// Observe records that an incarnation exists and deletes the leave of a lower
-// one.
+// Observe records that an incarnation exists and deletes the leave of a lower one.
 func (s *Set) Observe(endpoint string, incarnation uint64) {
 	if incarnation > s.highest[endpoint] {
 		s.highest[endpoint] = incarnation
@@ -78,7 +78,7 @@
 
 // SetListed records the incarnation in the published list. While the list is unchanged, a higher
 // observed incarnation is newer, and the list is stale. If the list changes to an incarnation
-// below an observed one, the list is right, because it is written in revision order: the
+// below an observed one, the list is correct, because it is written in revision order: the
 // endpoint's clock was set back between two starts. All other incarnations have then terminated,
 // and their state is deleted and ignored if it is received again. Otherwise a healthy endpoint
 // would get no work for as long as it is listed.
@@ -113,9 +113,9 @@
 	return ok && incarnation <= leave
 }
 
-// Prune deletes endpoints that have not been listed for UnlistedRetention. Endpoints without a
-// known incarnation are deleted as soon as they aren't listed, since one that is listed again
-// may have restarted.
+// Prune deletes the state of endpoints that have not been listed for UnlistedRetention. The state
+// of endpoints without a known incarnation is deleted as soon as they aren't listed, since one
+// that is listed again may have restarted.
 func (s *Set) Prune(now time.Time, listed func(endpoint string) bool) {
 	for endpoint, incarnation := range s.highest {
 		if listed(endpoint) {
@@ -127,12 +127,12 @@
 		}
 		hasIncarnation := fleet.Instance{Endpoint: endpoint, Incarnation: incarnation}.HasIncarnation()
 		if !hasIncarnation || now.Sub(s.unlistedSince[endpoint]) >= UnlistedRetention {
-			s.forget(endpoint)
+			s.remove(endpoint)
 		}
 	}
 }
 
-func (s *Set) forget(endpoint string) {
+func (s *Set) remove(endpoint string) {
 	delete(s.highest, endpoint)
 	delete(s.leaves, endpoint)
 	delete(s.listed, endpoint)
--- a/pkg/drain/drain_test.go
+++ b/pkg/drain/drain_test.go
@@ -95,7 +95,7 @@
 		prune()
 		listed = true
 		prune()
-		g.Expect(s.Leaving(endpoint, 5)).To(BeTrue(), "its record was restored unchanged")
+		g.Expect(s.Leaving(endpoint, 5)).To(BeTrue(), "its record reappeared unchanged")
 	}
 	listed = false
 	prune()
