--- a/pkg/quarantine/assessment.go
+++ b/pkg/quarantine/assessment.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// assess counts the terminations of a candidate that are not attributed to others, and determines
-// whether it is a culprit and from when on it is contained.
+// assess counts the terminations of a candidate that are not attributed to other requests, and
+// determines whether it is a culprit and when its containment starts.
 func (s *Set) assess(c *candidate, attributed map[uint64]int) {
 	c.unattributed, c.isolatedSince, c.culprit = 0, time.Time{}, false
 	var unattributed []Fact
@@ -41,8 +41,8 @@
 	return b
 }
 
-// firstUnshared returns the time of the first termination that no other candidate shares.
-func firstUnshared(terminations []Fact, shared cooccurrences) (at time.Time, found bool) {
+// firstUnshared returns the time of the first termination that no other candidate shares, if any.
+func firstUnshared(terminations []Fact, shared cooccurrences) (occurredAt time.Time, found bool) {
 	for _, t := range terminations {
 		if len(shared[t.EventID]) == 0 {
 			return t.OccurredAt, true
@@ -51,11 +51,11 @@
 	return time.Time{}, false
 }
 
-// confirmedInIsolation reports whether an instance terminated under a request while it was
-// isolated, without another candidate with at least minAmbiguousShared terminations there. The
-// time is that from which no further reports of other candidates are expected. A new culprit
-// whose first termination this is isn't excluded; it is recognised by its second.
-func confirmedInIsolation(terminations []Fact, isolatedSince time.Time, shared cooccurrences) (confirmed bool, from time.Time) {
+// confirmedInIsolation reports whether an instance terminated under a request while the request was
+// isolated, and no candidate with at least minAmbiguousShared terminations shares this termination.
+// containableFrom is the time by which all entries have reported what else ran in the instance.
+// Another culprit that has its first termination there isn't detected until its second one.
+func confirmedInIsolation(terminations []Fact, isolatedSince time.Time, shared cooccurrences) (confirmed bool, containableFrom time.Time) {
 	for _, t := range terminations[ContainmentThreshold:] {
 		if t.OccurredAt.Sub(isolatedSince) > attributionDelay && !shared.hasRepeatedCandidate(t.EventID) {
 			return true, t.OccurredAt.Add(attributionDelay)
@@ -66,15 +66,15 @@
 
 // cooccurrence describes another candidate that ran in some of the same instances.
 type cooccurrence struct {
-	// shared counts the terminations in common, terminations all of the other candidate's.
+	// shared counts the terminations that both have, terminations all those of the other candidate.
 	shared, terminations int
 }
 
 // cooccurrences maps the event IDs of a candidate's terminations to the candidates sharing them.
 type cooccurrences map[uint64][]*cooccurrence
 
-// sharedWithRepeated reports whether a candidate with at least minAmbiguousShared terminations
-// shares this one.
+// hasRepeatedCandidate reports whether a candidate with at least minAmbiguousShared terminations
+// shares the one with the given event ID.
 func (c cooccurrences) hasRepeatedCandidate(eventID uint64) bool {
 	return slices.ContainsFunc(c[eventID], func(other *cooccurrence) bool { return other.terminations >= minAmbiguousShared })
 }
@@ -98,12 +98,12 @@
 	return result
 }
 
-// ambiguous reports whether another candidate shares at least minAmbiguousShared terminations, and
-// at least half of the given number.
+// ambiguous reports whether one other candidate shares at least minAmbiguousShared terminations, and
+// at least half of the given number of terminations.
 func (c cooccurrences) ambiguous(terminations int) bool {
 	maxShared := 0
-	for _, sharing := range c {
-		for _, other := range sharing {
+	for _, candidates := range c {
+		for _, other := range candidates {
 			maxShared = max(maxShared, other.shared)
 		}
 	}
--- a/pkg/quarantine/attribution.go
+++ b/pkg/quarantine/attribution.go
@@ -17,10 +17,12 @@
 	// isolatedSince is when unattributed reached ContainmentThreshold; zero if it hasn't.
 	isolatedSince time.Time
 	// culprit is set if, by the known facts, the terminations can't be caused by another
-	// request. containableFrom is when all entries that saw others there have reported them.
+	// request. containableFrom is the time by which all entries have reported the other requests
+	// that ran in the terminated instances.
 	culprit         bool
 	containableFrom time.Time
-	// attributed is set if its terminations are attributed to it and count against no other.
+	// attributed is set if its terminations are attributed to it, so that they don't count against
+	// other requests.
 	attributed bool
 	// lastTermination is the time of the last of terminations.
 	lastTermination time.Time
@@ -162,7 +164,7 @@
 }
 
 // clearIfRedundant clears a culprit all of whose terminations are attributed to other culprits as
-// well. It was held responsible while these had fewer terminations.
+// well. It was identified as a culprit when the others had fewer terminations.
 func (s *Set) clearIfRedundant(c *candidate, attributed map[uint64]int) {
 	if !c.attributed || slices.ContainsFunc(c.terminations, func(t Fact) bool { return attributed[t.EventID] < 2 }) {
 		return
--- a/pkg/quarantine/fact.go
+++ b/pkg/quarantine/fact.go
@@ -13,7 +13,7 @@
 	Identity Identity
 	// EventID distinguishes the facts of a request. For a termination it is a hash of the
 	// instance (TerminationID), so that all entries that see it create the same fact; for a
-	// completed run it is any number.
+	// completed run it is an arbitrary number.
 	EventID uint64
 	// Completed marks a completed run. Terminations of the request up to then, and for
 	// ClearedPeriod after, don't count.
@@ -25,7 +25,7 @@
 // Key identifies a fact in exchanges between entries.
 type Key uint32
 
-// Key returns the key of the fact, a hash of its identity, event ID and kind.
+// Key returns the key of the fact, a hash of Identity, EventID and Completed.
 func (f Fact) Key() Key {
 	var data [25]byte
 	copy(data[:], f.Identity[:])
--- a/pkg/quarantine/isolation.go
+++ b/pkg/quarantine/isolation.go
@@ -19,8 +19,8 @@
 
 // IsEvidence reports whether the termination of an instance counts against a request that was
 // sent there at the given time. Only runs sent since the isolation count against an isolated
-// request. Its earlier runs were beside other candidates, and their terminations would soon be
-// too many for an innocent request.
+// request. Its earlier runs shared instances with other candidates, and counting the terminations
+// of these would soon bring an innocent request to AmbiguousThreshold.
 func (s *Set) IsEvidence(now time.Time, id Identity, sent time.Time) bool {
 	since, isolated := s.IsolatedSince(now, id)
 	return !isolated || sent.After(since)
@@ -54,7 +54,7 @@
 	for i, r := range requests {
 		best, bestScore := -1, uint64(0)
 		for e, name := range endpoints {
-			// No endpoint is assigned a further request before each has as many.
+			// No endpoint is assigned more than one request more than another.
 			if assignments[e] > i/len(endpoints) {
 				continue
 			}
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -15,30 +15,31 @@
 //	    |     (from any status)           |                 expires  v      | termination
 //	    +<--- facts expire ---------------+---------------------- [half-open]
 //
-// Requests that run beside a culprit become candidates as well, and the same request often runs
-// many times at once. Three rules protect innocent requests:
+// Requests that run in the same instance as a culprit become candidates as well, and the same request
+// often runs many times at once. Three rules protect innocent requests:
 //
 //   - A completed run shows that a request doesn't crash its endpoint: terminations up to then,
-//     and for ClearedPeriod after, don't count against it. Entries remember recent completions,
+//     and for ClearedPeriod after, don't count against it. Entries cache recent completions,
 //     so that a completion before the first termination clears the request, too.
-//   - An instance terminates once. Terminations attributed to a contained request count against
-//     no request with fewer terminations, nor against one with as many whose last one was later.
+//   - An instance terminates once, so terminations attributed to a culprit don't count against
+//     other requests. Culprits are determined in the order in which they reached
+//     ContainmentThreshold, and at equal times by descending number of terminations.
 //   - A request is ambiguous if it shares all its terminations with other candidates, and at
 //     least half of them with one of these. A request that isn't ambiguous is contained after
 //     ContainmentThreshold terminations. The terminations of an ambiguous one may be caused by
-//     others, as those of a request that runs at every endpoint, so it is Isolated: it goes on,
-//     each time at an endpoint of its own (Assign) that other requests avoid, where it either
+//     others, as those of a request that runs at every endpoint, so it is Isolated: it is still
+//     sent, but to an endpoint of its own (Assign) that other requests avoid, where it either
 //     completes or terminates one more instance by itself. Where isolation is impossible, as
 //     with a single endpoint, the request is contained after AmbiguousThreshold terminations and
 //     probed again after AmbiguousPeriod.
 //
-// Without isolation, a stream that ran at all three engines while two culprits crashed them in
-// turn was contained for ContainmentPeriod after 0.3 s, and the two culprits went on: the stream
-// alone accounted for all terminations.
+// Without isolation, a streaming request that ran at all three engines while two culprits crashed
+// them in turn was contained for ContainmentPeriod after 0.3 s, since it alone shared all
+// terminations, and the two culprits were still sent.
 //
-// Without the rules for ambiguous requests and for earlier completions, a stream that nine
-// callers requested at once was refused for minutes: three engines terminated within half a
-// second while it ran at each.
+// Without the rules for ambiguous requests and for earlier completions, a streaming request that
+// nine callers sent at once was refused for minutes: three engines terminated within half a second
+// while it ran at each.
 //
 // Every request running in an instance becomes a candidate when the instance terminates, whether
 // or not its response has begun: an engine may crash during prefill.
@@ -62,15 +63,16 @@
 const (
 	// ContainmentThreshold is the number of instance terminations under a request at which it
 	// is contained. A threshold of 2 would halve the damage, but two crashes within minutes
-	// affect innocent requests that are repeated: an idempotent request meets two of them
-	// within a single attempt.
+	// affect innocent requests that are repeated: an idempotent request, which is rerun after a
+	// crash, meets two of them within one call.
 	ContainmentThreshold = 3
 	// AmbiguousThreshold is the threshold for ambiguous requests, whose terminations may be
-	// caused by others. It is two higher: of the three further terminations that are allowed,
-	// one is left for the probe.
+	// caused by others. An ambiguous request may cause three terminations after
+	// ContainmentThreshold: two until it is contained, and one when it is probed.
 	AmbiguousThreshold = 5
 	// minAmbiguousShared is the number of shared terminations from which two requests can be
-	// mistaken for each other. One termination is shared with everything that ran there.
+	// mistaken for each other. A single termination is shared by all requests that ran in the
+	// instance.
 	minAmbiguousShared = 2
 	// MaxFacts bounds the facts kept, and with it the keys in each exchange, 4 bytes each. It
 	// covers about twenty instances that terminate with 24 requests each, the most that an
@@ -91,13 +93,14 @@
 	AmbiguousPeriod = 4 * time.Second
 	// attributionDelay is the time after the threshold is reached until all entries that saw
 	// other requests in the same instances have reported them (0.1 s between three busy
-	// entries), and until requests that ran at its endpoint before have had time to crash it.
+	// entries), and until requests that were running at the assigned endpoint before the
+	// isolation have had time to crash it.
 	// Until then, a request that shares terminations is only isolated. Without the delay,
 	// entries that lacked these reports refused innocent requests.
 	attributionDelay = 300 * time.Millisecond
 	// avoidancePeriod is the time after the last termination of an isolated request for which
-	// other requests avoid its endpoint. Callers that are told to retry after one second have
-	// done so by then.
+	// other requests avoid its endpoint. Callers whose Retry-After is one second have retried by
+	// then.
 	avoidancePeriod = 3 * time.Second
 	// ClearedPeriod is the time after a completed run for which terminations don't count
 	// against a request. For that long a request may be cleared wrongly, when the software at
@@ -107,7 +110,7 @@
 	// for as long as it was contained.
 	factRetention = 2 * ContainmentPeriod
 	// probeSlot is the time for which one entry may probe a request before it is the next
-	// one's turn: as long as a termination takes to be known at all entries (1.92 s with 295
+	// one's turn: as long as a termination takes to reach all entries (1.92 s with 295
 	// entries). When all entries could probe at once, thirty tries a second terminated more
 	// than three engines after the threshold with 66 entries and more.
 	probeSlot = 2 * time.Second
@@ -143,7 +146,8 @@
 	// probing holds the half-open requests of which a probe is running at this entry.
 	probing           map[Identity]bool
 	recentCompletions completionCache
-	// rank is the position of this entry among all entries, from zero.
+	// rank is the rank of this entry in the sorted list of entries, from zero, and entries their
+	// number.
 	rank, entries int
 }
 
@@ -152,8 +156,8 @@
 	return &Set{facts: map[Key]Fact{}, candidates: map[Identity]*candidate{}, byEvent: map[uint64][]*candidate{}, probing: map[Identity]bool{}}
 }
 
-// SetRank sets the position of this entry among all entries, from zero, and their number. They
-// determine the entry's turns to probe half-open requests.
+// SetRank sets the rank of this entry in the sorted list of entries, from zero, and their number.
+// They determine the entry's turns to probe half-open requests.
 func (s *Set) SetRank(rank, entries int) { s.rank, s.entries = rank, entries }
 
 // ownsProbeSlot reports whether it is this entry's turn to probe a request. Slots are counted
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -21,8 +21,8 @@
 func identityOf(name string) quarantine.Identity { return quarantine.IdentityOf("w", "h", name, nil) }
 
 // termination returns the fact that an instance, given by a number, terminated under a request.
-func termination(name string, instance uint64, at time.Time) quarantine.Fact {
-	return quarantine.Fact{Identity: identityOf(name), EventID: instance, OccurredAt: at}
+func termination(name string, instance uint64, occurredAt time.Time) quarantine.Fact {
+	return quarantine.Fact{Identity: identityOf(name), EventID: instance, OccurredAt: occurredAt}
 }
 
 func statusOf(s *quarantine.Set, now time.Time, name string) quarantine.Status {
@@ -229,11 +229,11 @@
 		}
 		for _, s := range sets[1:] {
 			if fmt.Sprint(s.Keys()) != fmt.Sprint(sets[0].Keys()) {
-				t.Fatalf("%v and %v", s.Keys(), sets[0].Keys())
+				t.Fatalf("entries have different keys: %v and %v", s.Keys(), sets[0].Keys())
 			}
 			for _, name := range []string{"a", "b", "c"} {
 				if statusOf(s, now, name) != statusOf(sets[0], now, name) {
-					t.Fatalf("%s: %v and %v", name, statusOf(s, now, name), statusOf(sets[0], now, name))
+					t.Fatalf("entries have different statuses of %s: %v and %v", name, statusOf(s, now, name), statusOf(sets[0], now, name))
 				}
 			}
 		}
