--- a/pkg/evacuation/evacuation.go
+++ b/pkg/evacuation/evacuation.go
@@ -47,17 +47,18 @@
 	OutputTokens int
 	// Local reports whether the planning entry relays the generation.
 	Local bool
-	// Unlisted reports whether the generation is too recent for the engine's own list of runs, so that the
-	// other entries have no record of it. Unlisted runs are planned last.
+	// Unlisted reports whether the generation is too recent for the engine's own list of runs, so
+	// that the other entries have no record of it. Unlisted runs are planned last.
 	Unlisted bool
 }
 
-// Value of a generation by its size: an output token counts as much as ten prompt tokens to the
-// users, and a part of the value is the same for all.
+// The value of a generation is baseValue, plus 1 for each prompt token and outputTokenValue for each
+// output token, including those expected: to the users, an output token counts as much as ten prompt
+// tokens.
 const (
 	baseValue        = 5000
 	outputTokenValue = 10
-	// expectedRemainingTokens is the estimate of the output tokens that are yet to come.
+	// expectedRemainingTokens is the estimated number of output tokens not yet generated.
 	expectedRemainingTokens = 600
 )
 
@@ -80,7 +81,7 @@
 type Target struct {
 	ID         string
 	DataCenter string
-	// FreeTokens is the number of tokens that it has memory for, as far as is known.
+	// FreeTokens is its free memory in tokens, as observed by the planning entry.
 	FreeTokens int
 }
 
@@ -131,11 +132,11 @@
 func Plan(in Input) []Step {
 	runs := planOrder(in.Sources)
 	var steps []Step
-	candidates := slacks
+	allowedSlacks := slacks
 	if in.DisableSlack {
-		candidates = slacks[len(slacks)-1:]
+		allowedSlacks = slacks[len(slacks)-1:]
 	}
-	for _, slack := range candidates {
+	for _, slack := range allowedSlacks {
 		link := in.Link
 		link.Overhead += slack
 		var inTime bool
@@ -149,7 +150,7 @@
 
 // slacks are the margins added to each copy, the longest first. Entries receive a notice some ten
 // milliseconds apart, and a copy that begins late must not overlap the next one. Plan takes the
-// longest slack with which all runs end in time.
+// longest slack with which all copies end in time.
 var slacks = []time.Duration{80 * time.Millisecond, 40 * time.Millisecond, 0}
 
 // defaultRemaining is the assumed remaining time of a source that doesn't report it, a little less
@@ -165,41 +166,41 @@
 	return p
 }
 
-// planAll plans the runs in their order. It returns the steps of the planning entry, and whether all
-// the runs that every entry has listed end in time.
-func (p *planner) planAll(runs []candidate) (steps []Step, inTime bool) {
+// planAll plans the runs in their order. It returns the steps of the planning entry, and whether the
+// copies of all runs except the unlisted ones end in time.
+func (p *planner) planAll(runs []sourceRun) (steps []Step, inTime bool) {
 	inTime = true
-	for _, c := range runs {
-		s, ok := p.plan(c.source, c.run)
-		if ok && c.run.Local {
+	for _, r := range runs {
+		s, ok := p.plan(r.source, r.run)
+		if ok && r.run.Local {
 			steps = append(steps, s)
 		}
-		remaining := c.source.Remaining
+		remaining := r.source.Remaining
 		if remaining == 0 {
 			remaining = defaultRemaining
 		}
-		if !c.run.Unlisted && (!ok || p.busyUntil[c.source.ID] > remaining) {
+		if !r.run.Unlisted && (!ok || p.busyUntil[r.source.ID] > remaining) {
 			inTime = false
 		}
 	}
 	return steps, inTime
 }
 
-// candidate is a run with its source.
-type candidate struct {
+// sourceRun is a run with its source.
+type sourceRun struct {
 	source *Source
 	run    Run
 }
 
 // planOrder returns all runs in the order in which they are planned.
-func planOrder(sources []Source) []candidate {
-	var runs []candidate
+func planOrder(sources []Source) []sourceRun {
+	var runs []sourceRun
 	for i := range sources {
 		for _, r := range sources[i].Runs {
-			runs = append(runs, candidate{&sources[i], r})
+			runs = append(runs, sourceRun{&sources[i], r})
 		}
 	}
-	slices.SortFunc(runs, func(a, b candidate) int {
+	slices.SortFunc(runs, func(a, b sourceRun) int {
 		return cmp.Or(
 			compareBool(a.run.Unlisted, b.run.Unlisted),
 			cmp.Compare(b.run.valuePerToken(), a.run.valuePerToken()),
@@ -212,14 +213,15 @@
 // targetState is a target with the effects of the steps planned so far.
 type targetState struct {
 	Target
-	// busyUntil is when its link has finished the copies planned so far.
+	// busyUntil is when its link has finished the copies planned so far, counted from the notice.
 	busyUntil time.Duration
 }
 
 type planner struct {
 	link    Link
 	targets []*targetState
-	// busyUntil is when the link of each source has finished the copies planned so far.
+	// busyUntil is when the link of each source has finished the copies planned so far, counted from
+	// the notice.
 	busyUntil map[string]time.Duration
 }
 
--- a/pkg/evacuation/evacuation_test.go
+++ b/pkg/evacuation/evacuation_test.go
@@ -23,12 +23,12 @@
 		entries := rapid.IntRange(1, 4).Draw(t, "entries")
 		owner := map[string]int{}
 		tokens := map[string]int{}
-		var all []evacuation.Run
+		var runs []evacuation.Run
 		for i := range rapid.IntRange(1, 8).Draw(t, "runs") {
 			id := fmt.Sprintf("r%d", i)
 			owner[id] = rapid.IntRange(0, entries-1).Draw(t, "owner")
 			tokens[id] = rapid.IntRange(100, 7000).Draw(t, "tokens")
-			all = append(all, evacuation.Run{RequestID: id, Tokens: tokens[id], OutputTokens: rapid.IntRange(0, tokens[id]).Draw(t, "made")})
+			runs = append(runs, evacuation.Run{RequestID: id, Tokens: tokens[id], OutputTokens: rapid.IntRange(0, tokens[id]).Draw(t, "made")})
 		}
 		crossDataCenter := map[string]bool{}
 		var targets []evacuation.Target
@@ -50,7 +50,7 @@
 		used := map[string]int{}
 		for e := range entries {
 			sources := []evacuation.Source{{ID: "s0", DataCenter: "here", Remaining: remaining}, {ID: "s1", DataCenter: "here", Remaining: remaining}}
-			for i, r := range all {
+			for i, r := range runs {
 				r.Local = owner[r.RequestID] == e
 				s := &sources[i%len(sources)]
 				s.Runs = append(s.Runs, r)
@@ -135,11 +135,11 @@
 		})
 	}
 	copyTime := link.CopyTime(1000, false)
-	few := plan(3, 2*time.Second)
-	g.Expect(few[1].Start).To(Equal(copyTime + 80*time.Millisecond))
-	many := plan(3, 3*copyTime)
-	g.Expect(many).To(HaveLen(3))
-	g.Expect(many[1].Start).To(Equal(copyTime))
+	withSlack := plan(3, 2*time.Second)
+	g.Expect(withSlack[1].Start).To(Equal(copyTime + 80*time.Millisecond))
+	withoutSlack := plan(3, 3*copyTime)
+	g.Expect(withoutSlack).To(HaveLen(3))
+	g.Expect(withoutSlack[1].Start).To(Equal(copyTime))
 	g.Expect(plan(10, 3*copyTime)).To(HaveLen(3), "runs that can't be moved in time are not planned")
 }
 
