--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -299,7 +299,7 @@
 	b.guard.SetPlace(placeAmong(self.GetVm(), members, isAlive))
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
 		s.SetRank(placeAmong(self.GetVm(), members, mayServe))
-		s.Backpressure().SetPosition(backpressurePlace(self, members))
+		s.Backpressure().SetRank(backpressurePlace(self, members))
 	})
 	for vm := range b.counted {
 		if !live[vm] {
--- a/internal/peering/limits.go
+++ b/internal/peering/limits.go
@@ -108,8 +108,8 @@
 func isThere(s membership.Status) bool { return s == membership.Alive || s == membership.Suspect }
 
 // backpressurePlace is where this entry stands among itself and the members that are there.
-func backpressurePlace(self *peerv1.NodeRecord, members []membership.Member) backpressure.Position {
-	p := backpressure.Position{
+func backpressurePlace(self *peerv1.NodeRecord, members []membership.Member) backpressure.Rank {
+	p := backpressure.Rank{
 		DataCenter: self.GetDataCenter(),
 		Entries:    map[string]int{self.GetDataCenter(): 1},
 		Preceding:  map[string]int{},
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -362,7 +362,7 @@
 	// sent counts what the third one sends within a minute.
 	sent := func(others membership.Status) (n int) {
 		s := backpressure.New()
-		s.SetPosition(backpressurePlace(self, []membership.Member{
+		s.SetRank(backpressurePlace(self, []membership.Member{
 			{Contact: membership.Contact{VM: "vm-0", DataCenter: "dc"}, Status: others},
 			{Contact: membership.Contact{VM: "vm-2", DataCenter: "dc"}, Status: others},
 		}))
--- a/pkg/backpressure/backpressure.go
+++ b/pkg/backpressure/backpressure.go
@@ -4,7 +4,7 @@
 // # Limits
 //
 // An endpoint names in its responses how many requests a second it accepts from all entries
-// together, for as long as it throttles. An entry that receives a limit announces it to the others
+// together, for as long as it throttles. An entry that receives a limit announces it to its peers
 // (LimitReport); the latest report applies. Entries don't coordinate each request. Instead, a few
 // of them (the sharers) split the limit evenly, and each enforces its share with a token bucket.
 // Entries in the endpoint's own data centre are sharers before others, and the sharers differ
@@ -25,7 +25,6 @@
 // Kind classifies what a response states about a limit.
 type Kind int
 
-// The kinds.
 const (
 	// Unlimited: the response names no limit, so the endpoint has none.
 	Unlimited Kind = iota
--- a/pkg/backpressure/reports.go
+++ b/pkg/backpressure/reports.go
@@ -14,9 +14,10 @@
 	Instance fleet.Instance
 	// Limit is never Unreadable.
 	Limit Limit
-	// ReportedAt is the time of the statement. For a response without a limit it is the time when
-	// its request was sent: the response may have been written at any time since, so it must not
-	// revoke a limit that another response names meanwhile.
+	// ReportedAt orders the reports of an instance: the latest applies. It is the time when the
+	// response was received, or, for a response without a limit, when its request was sent: such a
+	// response may have been written at any time since, so it must not revoke a limit that another
+	// response names meanwhile.
 	ReportedAt time.Time
 }
 
@@ -37,14 +38,13 @@
 // Source is the origin of a report.
 type Source int
 
-// The sources.
 const (
 	// FromResponse: a response to this entry.
 	FromResponse Source = iota
-	// FromSameDataCenter: an entry of this data centre, which announces the report to all others
-	// there itself.
+	// FromSameDataCenter: a peer in this data centre, which itself announces the report to all
+	// entries there.
 	FromSameDataCenter
-	// FromOtherDataCenter: an entry of another data centre.
+	// FromOtherDataCenter: a peer in another data centre.
 	FromOtherDataCenter
 )
 
@@ -76,9 +76,9 @@
 	bucket        bucket
 }
 
-// Apply takes a report and returns the change that it makes, unless the limits are similar. A report
-// older than the known one changes nothing; if it differs in kind, the newer one is announced to the
-// peer that sent it.
+// Apply applies a report and returns the change that it makes, unless the limits are similar. A report
+// older than the known one changes nothing; if it comes from a peer and differs in kind, the newer one
+// is announced to that peer.
 func (s *Set) Apply(now time.Time, r LimitReport, source Source) (Change, bool) {
 	st := s.states[r.Instance]
 	switch {
@@ -89,7 +89,8 @@
 		s.states[r.Instance] = st
 	case !r.ReportedAt.After(st.reportedAt):
 		if source != FromResponse && r.Limit.Kind != st.limit.Kind {
-			// The version changes even if the limit is announced already, since it is newer now.
+			// The version changes even if the limit is announced already, since the report may be newer
+			// than the one announced.
 			st.announce = true
 			s.version++
 		}
--- a/pkg/backpressure/reports_test.go
+++ b/pkg/backpressure/reports_test.go
@@ -58,15 +58,15 @@
 	g.Expect(last).To(Equal(backpressure.Change{Instance: instance, Previous: limited(4), Duration: 3 * time.Second, RequestsSent: 2}))
 }
 
-// TestLimitOutlivesExpiredRecord: a limit is kept while its endpoint is missing in the list for
+// TestLimitRetainedWhileUnlisted: a limit is kept while its endpoint is missing in the list for
 // less than unlistedRetention, and dropped after.
-func TestLimitOutlivesExpiredRecord(t *testing.T) {
+func TestLimitRetainedWhileUnlisted(t *testing.T) {
 	g := NewWithT(t)
 	s := backpressure.New()
 	s.Apply(start, backpressure.LimitReport{Instance: instance, Limit: limited(4), ReportedAt: start}, backpressure.FromResponse)
-	none := func(fleet.Instance) bool { return false }
+	noneListed := func(fleet.Instance) bool { return false }
 	for _, after := range []time.Duration{0, time.Minute, 119 * time.Second} {
-		s.UpdateListed(start.Add(after), none)
+		s.UpdateListed(start.Add(after), noneListed)
 		s.Expire(start.Add(after))
 		g.Expect(s.Idle()).To(BeFalse(), "after %v", after)
 	}
@@ -75,13 +75,13 @@
 	g.Expect(s.Idle()).To(BeTrue())
 }
 
-// TestNewerReportIsAnnounced: an entry that receives an older report than it holds announces its
-// own, even if it has that from a peer of its data centre.
+// TestNewerReportIsAnnounced: an entry that receives a report older than its own announces its own,
+// even if it received that from a peer in its data centre.
 func TestNewerReportIsAnnounced(t *testing.T) {
 	g := NewWithT(t)
 	s := backpressure.New()
-	apply := func(l backpressure.Limit, at time.Duration, source backpressure.Source) {
-		s.Apply(start, backpressure.LimitReport{Instance: instance, Limit: l, ReportedAt: start.Add(at)}, source)
+	apply := func(l backpressure.Limit, reportedAt time.Duration, source backpressure.Source) {
+		s.Apply(start, backpressure.LimitReport{Instance: instance, Limit: l, ReportedAt: start.Add(reportedAt)}, source)
 	}
 	apply(limited(4), time.Second, backpressure.FromSameDataCenter)
 	g.Expect(s.Announcements()).To(BeEmpty(), "the peer announces it to all others in the data centre")
--- a/pkg/backpressure/set.go
+++ b/pkg/backpressure/set.go
@@ -9,8 +9,8 @@
 
 // Set holds the limits and pauses of throttling endpoints as observed by one entry.
 type Set struct {
-	position Position
-	states   map[fleet.Instance]*state
+	rank   Rank
+	states map[fleet.Instance]*state
 	// pauses maps instances to the end of their pause for this entry.
 	pauses  map[fleet.Instance]time.Time
 	version uint64
@@ -21,8 +21,8 @@
 	return &Set{states: map[fleet.Instance]*state{}, pauses: map[fleet.Instance]time.Time{}}
 }
 
-// SetPosition sets the position of this entry among all entries.
-func (s *Set) SetPosition(p Position) { s.position = p }
+// SetRank sets the rank of this entry.
+func (s *Set) SetRank(r Rank) { s.rank = r }
 
 // Idle reports whether no endpoint is known to throttle.
 func (s *Set) Idle() bool { return len(s.states) == 0 && len(s.pauses) == 0 }
@@ -86,10 +86,10 @@
 	case st == nil:
 		c.Unlimited = true
 	default:
-		own := s.shareOf(e, st.limit)
-		st.bucket.refill(now, own)
+		ownShare := s.shareOf(e, st.limit)
+		st.bucket.refill(now, ownShare)
 		c.tokens += st.bucket.tokens
-		c.perSecond += own.perSecond
+		c.perSecond += ownShare.perSecond
 		c.totalPerSecond += effectiveRate(st.limit)
 	}
 }
--- a/pkg/backpressure/share.go
+++ b/pkg/backpressure/share.go
@@ -7,9 +7,9 @@
 	"github.com/bridgehoist/bridgehoist/pkg/fleet"
 )
 
-// Position is the position of an entry among all entries that may serve callers, in the order of
-// their names. The zero Position is that of an entry without known peers.
-type Position struct {
+// Rank describes the rank of an entry in the sorted list of the entries that may serve callers. The
+// zero Rank is that of an entry without known peers.
+type Rank struct {
 	// DataCenter is the data centre of this entry.
 	DataCenter string
 	// Entries counts the entries of each data centre, including this one, and Preceding those
@@ -17,11 +17,11 @@
 	Entries, Preceding map[string]int
 }
 
-// Total returns the number of all entries, at least one.
-func (p Position) Total() int { return max(sum(p.Entries), 1) }
+// EntryCount returns the number of all entries, at least one.
+func (r Rank) EntryCount() int { return max(sum(r.Entries), 1) }
 
-// Rank returns the position of this entry among all entries, from zero.
-func (p Position) Rank() int { return sum(p.Preceding) }
+// Overall returns the rank among the entries of all data centres, from zero.
+func (r Rank) Overall() int { return sum(r.Preceding) }
 
 func sum(counts map[string]int) (n int) {
 	for _, count := range counts {
@@ -30,15 +30,15 @@
 	return n
 }
 
-// rankAt returns the position of this entry among all entries at an endpoint, from zero. Entries of
-// the endpoint's data centre come first, since they reach it also when that data centre is cut off
-// and prefer it to other endpoints. The order differs between endpoints.
-func (p Position) rankAt(e fleet.Endpoint) int {
-	sameDC := p.Entries[e.DataCenter]
-	if p.DataCenter == e.DataCenter {
-		return rotate(e.ID, p.Preceding[e.DataCenter], max(sameDC, 1))
+// forEndpoint returns the rank of this entry in the order in which entries share an endpoint's limit,
+// from zero. Entries of the endpoint's data centre come first, since they reach it also when that data
+// centre is cut off and prefer it to other endpoints. The order differs between endpoints.
+func (r Rank) forEndpoint(e fleet.Endpoint) int {
+	sameDC := r.Entries[e.DataCenter]
+	if r.DataCenter == e.DataCenter {
+		return rotate(e.ID, r.Preceding[e.DataCenter], max(sameDC, 1))
 	}
-	return sameDC + rotate(e.ID, p.Rank()-p.Preceding[e.DataCenter], max(p.Total()-sameDC, 1))
+	return sameDC + rotate(e.ID, r.Overall()-r.Preceding[e.DataCenter], max(r.EntryCount()-sameDC, 1))
 }
 
 // rotate shifts a rank among n entries by a hash of a name.
@@ -71,8 +71,8 @@
 // shareOf returns this entry's share of an endpoint's limit.
 func (s *Set) shareOf(e fleet.Endpoint, l Limit) share {
 	rate := effectiveRate(l)
-	sharers := min(s.position.Total(), int(sharersPerSecond*rate)+extraSharers)
-	if s.position.rankAt(e) >= sharers {
+	sharers := min(s.rank.EntryCount(), int(sharersPerSecond*rate)+extraSharers)
+	if s.rank.forEndpoint(e) >= sharers {
 		return share{}
 	}
 	perSharer := rate / float64(sharers)
@@ -87,9 +87,9 @@
 }
 
 // refill adds the tokens for the time since the last call.
-func (b *bucket) refill(now time.Time, own share) {
+func (b *bucket) refill(now time.Time, ownShare share) {
 	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
-		b.tokens = min(b.tokens+own.perSecond*elapsed.Seconds(), own.burst)
+		b.tokens = min(b.tokens+ownShare.perSecond*elapsed.Seconds(), ownShare.burst)
 		b.refilledAt = now
 	}
 }
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -58,7 +58,7 @@
 	f := &limitedFleet{start: time.Unix(1000, 0)}
 	for rank := range size {
 		s := newForwardingScheduler("dc0", uint64(rank))
-		s.Backpressure().SetPosition(backpressure.Position{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Preceding: map[string]int{"dc0": rank}})
+		s.Backpressure().SetRank(backpressure.Rank{DataCenter: "dc0", Entries: map[string]int{"dc0": size}, Preceding: map[string]int{"dc0": rank}})
 		s.SetEndpoints(f.start, endpoints)
 		for _, e := range endpoints {
 			f.setLimit(s, e, limits)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -190,7 +190,7 @@
 N=pkg/backpressure
 mutant "throttling: limits not kept" $N/set.go 's/return st.bucket.hasToken()/return true/' "./pkg/scheduler -run Limited"
 mutant "throttling: each entry takes all" $N/share.go 's/perSharer := rate \/ float64(sharers)/perSharer := rate/' "./pkg/scheduler -run Limited"
-mutant "throttling: all entries share" $N/share.go 's/if s.position.rankAt(e) >= sharers {/if false {/' "./pkg/scheduler ./internal/peering -run Limit"
+mutant "throttling: all entries share" $N/share.go 's/if s.rank.forEndpoint(e) >= sharers {/if false {/' "./pkg/scheduler ./internal/peering -run Limit"
 mutant "throttling: not told to others" internal/peering/limits.go 's/r.Limits = limitsOut(now, s.Backpressure().Announcements())/_ = limitsOut/' "./internal/peering -run Limit"
 mutant "throttling: not told to other data centres" internal/peering/limits.go 's/from = backpressure.FromOtherDataCenter/from = backpressure.FromSameDataCenter/' "./internal/peering -run Limit"
 mutant "throttling: taken back by an earlier request's answer" $N/reports.go 's/Limit: limit, ReportedAt: sent}, true/Limit: limit, ReportedAt: received}, true/' ./pkg/backpressure
