--- a/internal/controllers/controllers.go
+++ b/internal/controllers/controllers.go
@@ -38,7 +38,7 @@
 
 // Exchange periodically renews the entry's own record and reconciles its state with peers.
 type Exchange struct {
-	PeerState *peering.Beliefs
+	PeerState *peering.ClusterState
 	Client    *peering.Client
 	// Inherited lists the incarnations whose tickets this entry took over; nil if it took over
 	// none.
@@ -85,7 +85,7 @@
 }
 
 func (c *Exchange) round(ctx context.Context) {
-	c.PeerState.Beat(clock.Now(), c.inherited())
+	c.PeerState.Heartbeat(clock.Now(), c.inherited())
 	answered, asked := c.Client.Round(ctx)
 	c.OnRound(answered, asked)
 	if answered == 0 && len(c.SeedPeers) > 0 {
@@ -117,7 +117,7 @@
 // unknownSeeds returns the seeds that are not members.
 func (c *Exchange) unknownSeeds() []membership.Contact {
 	known := map[string]bool{}
-	c.PeerState.View(func(v *membership.View) {
+	c.PeerState.WithView(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
 			known[m.Address] = true
 		}
@@ -145,10 +145,10 @@
 // runs before the entry becomes ready, because peers may have newer values than the platform
 // replica that the entry reads.
 func (c *Exchange) InitialSync(ctx context.Context, dataCenter string) {
-	c.PeerState.Beat(clock.Now(), c.inherited())
+	c.PeerState.Heartbeat(clock.Now(), c.inherited())
 	c.Client.Reconcile(ctx, c.seeds())
 	var local, remote []membership.Contact
-	c.PeerState.View(func(v *membership.View) {
+	c.PeerState.WithView(func(v *membership.View) {
 		for _, s := range v.Seeds() {
 			if s.DataCenter == dataCenter {
 				local = append(local, s)
@@ -164,9 +164,9 @@
 // AnnounceLeft announces to all live members that the entry has left.
 func (c *Exchange) AnnounceLeft(ctx context.Context) {
 	c.PeerState.SetState(peerv1.NodeState_NODE_STATE_LEFT)
-	c.PeerState.Beat(clock.Now(), nil)
+	c.PeerState.Heartbeat(clock.Now(), nil)
 	var peers []membership.Contact
-	c.PeerState.View(func(v *membership.View) {
+	c.PeerState.WithView(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
 			if m.Status == membership.Alive {
 				peers = append(peers, m.Contact)
--- a/internal/controllers/load_poller.go
+++ b/internal/controllers/load_poller.go
@@ -26,7 +26,7 @@
 // LoadPoller polls the load of the engines that this entry is a home entry of. Other entries
 // receive the reports in the exchange.
 type LoadPoller struct {
-	PeerState *peering.Beliefs
+	PeerState *peering.ClusterState
 	ReadLoad  LoadReader
 	Interval  time.Duration
 	// StartDelay is the time after the start in which no engine is polled. An entry that has just
@@ -61,7 +61,7 @@
 func (c *LoadPoller) poll(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentPolls)
-	for _, e := range c.PeerState.ToPoll(clock.Now()) {
+	for _, e := range c.PeerState.EndpointsToPoll(clock.Now()) {
 		g.Go(func() error {
 			c.PollEndpoint(ctx, e)
 			return nil
@@ -76,7 +76,7 @@
 	defer cancel()
 	// A failed poll needs no handling: the age of the last report shows it.
 	if report, leaving, err := c.ReadLoad(ctx, e); err == nil {
-		c.PeerState.Polled(report, leaving)
+		c.PeerState.RecordPoll(report, leaving)
 	}
 }
 
--- a/internal/controllers/seeds_test.go
+++ b/internal/controllers/seeds_test.go
@@ -22,17 +22,17 @@
 
 // exchangingEntry is an entry that only exchanges state with peers.
 type exchangingEntry struct {
-	state    *peering.Beliefs
+	state    *peering.ClusterState
 	exchange *controllers.Exchange
 	handler  http.Handler
 }
 
 func newExchangingEntry(vm, address string, seeds ...string) *exchangingEntry {
 	view := membership.New(membership.Config{VM: vm, DataCenter: "dc", PeerAddress: address, Epoch: 1, Incarnation: []byte(vm)})
-	state := peering.NewBeliefs(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
+	state := peering.NewClusterState(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
 	store := published.New(published.Config{}, func(published.Event) {}, nil)
 	traffic := &peering.Traffic{}
-	client := peering.NewClient(peering.Config{Beliefs: state, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
+	client := peering.NewClient(peering.Config{State: state, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
 	return &exchangingEntry{
 		state:    state,
 		handler:  peering.NewServer(state, store, nil, nil, traffic).Handler(""),
@@ -50,7 +50,7 @@
 }
 
 func (e *exchangingEntry) members() (count int) {
-	e.state.View(func(v *membership.View) { count = len(v.Members(time.Now())) })
+	e.state.WithView(func(v *membership.View) { count = len(v.Members(time.Now())) })
 	return count
 }
 
--- a/internal/controllers/value_watcher.go
+++ b/internal/controllers/value_watcher.go
@@ -38,7 +38,7 @@
 type ValueWatcher struct {
 	Reader    ValueReader
 	Store     *published.Store
-	PeerState *peering.Beliefs
+	PeerState *peering.ClusterState
 	// WatchWait is the mean wait of one watch.
 	WatchWait time.Duration
 	// MaxFirstWatcherWait, if above zero, bounds the wait of each watch by the first watcher of a
@@ -121,7 +121,7 @@
 // data centre.
 func (c *ValueWatcher) role(now time.Time) (watcher, first bool) {
 	rounds := staleAfterRounds + bits.Len(uint(c.PeerState.LocalSize(now)-1))
-	higherRanked, higherActive := c.PeerState.ReadersAbove(now, watchJob, time.Duration(rounds)*c.ExchangeInterval)
+	higherRanked, higherActive := c.PeerState.HigherRankedWatchers(now, watchJob, time.Duration(rounds)*c.ExchangeInterval)
 	if c.ExchangeInterval == 0 {
 		return higherRanked < WatchersPerDataCenter, higherRanked == 0
 	}
--- a/internal/controllers/value_watcher_test.go
+++ b/internal/controllers/value_watcher_test.go
@@ -60,13 +60,13 @@
 }
 
 // peerlessState returns the state of an entry that knows no peers.
-func peerlessState() *peering.Beliefs {
+func peerlessState() *peering.ClusterState {
 	view := membership.New(membership.Config{VM: "vm", DataCenter: "dc"})
-	return peering.NewBeliefs(view, dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
+	return peering.NewClusterState(view, dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
 }
 
 // peerlessStateWithEngine returns the state of an entry that knows no peers and one engine.
-func peerlessStateWithEngine() *peering.Beliefs {
+func peerlessStateWithEngine() *peering.ClusterState {
 	state := peerlessState()
 	state.ApplyFleet(&fleet.List{Endpoints: []fleet.Endpoint{{
 		ID: "e", Address: "127.0.0.1:1", DataCenter: "dc", Type: fleet.Engine, Targets: []string{"m"}, Incarnation: 1,
@@ -168,11 +168,11 @@
 }
 
 // stateWithPeer returns the state of an entry that knows one peer in its data centre.
-func stateWithPeer(vm, peerVM string) *peering.Beliefs {
+func stateWithPeer(vm, peerVM string) *peering.ClusterState {
 	newView := func(vm string) *membership.View {
 		return membership.New(membership.Config{VM: vm, DataCenter: "dc", SuspectAfter: time.Hour, DeadAfter: 2 * time.Hour})
 	}
-	state := peering.NewBeliefs(newView(vm), dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
+	state := peering.NewClusterState(newView(vm), dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
 	peer := newView(peerVM)
 	peer.Beat(func(r *peerv1.NodeRecord) { r.State = peerv1.NodeState_NODE_STATE_LIVE })
 	state.Merge(time.Now(), []*peerv1.NodeRecord{peer.Self()})
