--- a/internal/filters/account/account.go
+++ b/internal/filters/account/account.go
@@ -46,7 +46,7 @@
 // tickets and are left out.
 func ticketOf(r *http.Request) string {
 	for _, name := range []string{httpapi.HeaderTicket, httpapi.HeaderIdempotencyKey} {
-		if t := r.Header.Get(name); claims.LooksLikeTicket(t) {
+		if t := r.Header.Get(name); claims.HasTicketPrefix(t) {
 			return t
 		}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -71,7 +71,7 @@
 // is not passed on again.
 func (o *Owner) ServeOwn(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	if !o.Holds(t.Incarnation) {
-		return claims.OwnerReplaced()
+		return claims.OwnerReplacedError()
 	}
 	return o.Serve(ctx, t, j, sink)
 }
@@ -80,7 +80,7 @@
 func (o *Owner) Holds(i claims.Incarnation) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ledger.Holds(i)
+	return o.ledger.HasAuthority(i)
 }
 
 func (o *Owner) begin(t claims.Ticket, j *job.Job) (claims.Decision, *answer.Log) {
@@ -118,7 +118,7 @@
 	// Whatever the table says by now, what has a ticket is not repeated.
 	j.Row.Idempotent = false
 	j.BeforeSend = func() bool { return o.locked(func(l *claims.Ledger) bool { return l.Dispatch(key) }) }
-	j.NotSent = func() { o.locked(func(l *claims.Ledger) bool { l.Undispatch(key); return true }) }
+	j.NotSent = func() { o.locked(func(l *claims.Ledger) bool { l.RevertDispatch(key); return true }) }
 	err := o.run(context.Background(), j, log)
 	status, contentType, data := log.Answer()
 	var kept *claims.Answer
@@ -153,7 +153,7 @@
 func (o *Owner) Stats() (running, records int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ledger.Running(), o.ledger.Records()
+	return o.ledger.CountRunning(), o.ledger.CountRecords()
 }
 
 // Inherited lists the incarnations taken over.
@@ -187,7 +187,7 @@
 
 func (o *Owner) tryFreeze() bool {
 	return o.locked(func(l *claims.Ledger) bool {
-		if l.Running() > 0 {
+		if l.CountRunning() > 0 {
 			return false
 		}
 		l.Freeze()
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -84,7 +84,7 @@
 		return s, nil
 	}
 	c.cfg.Beliefs.View(func(v *membership.View) {
-		address, err = claims.Route(t, Directory{v, clock.Now()}, c.allowed)
+		address, err = claims.ResolveOwner(t, Directory{v, clock.Now()}, c.allowed)
 	})
 	return address, err
 }
@@ -96,7 +96,7 @@
 }
 
 // Holder implements claims.Directory.
-func (d Directory) Holder(i claims.Incarnation) (string, bool) {
+func (d Directory) InheritorAddress(i claims.Incarnation) (string, bool) {
 	m, ok := d.View.Inheritor(d.Now, i[:])
 	return m.Address, ok
 }
@@ -160,7 +160,7 @@
 		f.reached = true
 		msg := stream.Msg()
 		if final := msg.GetFinal(); final != nil {
-			return true, claims.ErrorOf(final)
+			return true, claims.DecodeFinal(final)
 		}
 		if !f.take(msg) {
 			return false, nil
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -138,7 +138,7 @@
 	stop := sink.beat(ctx)
 	final := s.run(ctx, req.Msg, sink)
 	stop()
-	return sink.send(&peerv1.RunResponse{Part: &peerv1.RunResponse_Final{Final: claims.FinalOf(final)}})
+	return sink.send(&peerv1.RunResponse{Part: &peerv1.RunResponse_Final{Final: claims.EncodeFinal(final)}})
 }
 
 func (s *Server) run(ctx context.Context, msg *peerv1.RunRequest, sink job.Sink) *outcome.Error {
--- a/internal/proof/atmostonce_test.go
+++ b/internal/proof/atmostonce_test.go
@@ -61,7 +61,7 @@
 }
 
 func (n *node) forward(t claims.Ticket, r *request, respond func(reply)) {
-	address, err := claims.Route(t, peering.Directory{View: n.view, Now: n.w.Now()}, func(string) bool { return true })
+	address, err := claims.ResolveOwner(t, peering.Directory{View: n.view, Now: n.w.Now()}, func(string) bool { return true })
 	if err != nil {
 		respond(reply{err: err})
 		return
@@ -79,8 +79,8 @@
 	})
 	n.w.send(n.index, n.w.nodeAt(address), func(p *node) {
 		back := func(rep reply) { p.w.send(p.index, n.index, func(*node) { once(rep) }) }
-		if !p.ledger.Holds(t.Incarnation) {
-			back(reply{err: claims.OwnerReplaced()})
+		if !p.ledger.HasAuthority(t.Incarnation) {
+			back(reply{err: claims.OwnerReplacedError()})
 			return
 		}
 		p.serve(r, back)
@@ -96,7 +96,7 @@
 	}
 	switch x := n.w.rng.Float64(); {
 	case x < 0.15:
-		n.ledger.Undispatch(key)
+		n.ledger.RevertDispatch(key)
 		n.finish(key, nil, outcome.NotRunf(outcome.CodeNoEndpoint, "refused before execution"))
 	case x < 0.3:
 		n.w.After(n.w.between(0, time.Second), func() { r.runs++ })
@@ -131,7 +131,7 @@
 }
 
 func (n *node) handOver(refused map[string]bool) {
-	if n.ledger.Running() > 0 {
+	if n.ledger.CountRunning() > 0 {
 		n.later(100*time.Millisecond, func() { n.handOver(refused) })
 		return
 	}
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -137,7 +137,7 @@
 	n.drains = drain.New()
 	n.ledger = claims.New(n.w.Now(), claims.Config{
 		VM: n.vm, PeerAddress: n.address(), Incarnation: n.incarnation,
-		Secret: append([]byte("secret"), n.incarnation[:]...), Validity: 20 * time.Second, KeepFinished: 5 * time.Second,
+		Secret: append([]byte("secret"), n.incarnation[:]...), Validity: 20 * time.Second, FinishedRetention: 5 * time.Second,
 	})
 	n.followers = map[claims.Key][]func(reply){}
 	n.every(time.Second, n.gossip)
--- a/pkg/claims/bounds.go
+++ b/pkg/claims/bounds.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// mintWindow counts the tickets minted within a window, by the second.
+// mintWindow counts the tickets minted within a sliding window, in buckets of a
+// second.
 type mintWindow struct {
 	buckets []mintBucket
 	total   int
 }
 
 type mintBucket struct {
-	at    time.Time
+	start time.Time
 	count int
 }
 
 func (w *mintWindow) add(now time.Time) {
 	w.total++
-	if n := len(w.buckets); n > 0 && now.Sub(w.buckets[n-1].at) < time.Second {
+	if n := len(w.buckets); n > 0 && now.Sub(w.buckets[n-1].start) < time.Second {
 		w.buckets[n-1].count++
 		return
 	}
@@ -23,29 +24,30 @@
 }
 
 func (w *mintWindow) count(now time.Time, window time.Duration) int {
-	for len(w.buckets) > 0 && now.Sub(w.buckets[0].at) > window+time.Second {
+	for len(w.buckets) > 0 && now.Sub(w.buckets[0].start) > window+time.Second {
 		w.total -= w.buckets[0].count
 		w.buckets = w.buckets[1:]
 	}
 	return w.total
 }
 
-// answerQueue bounds the bytes of stored answers, oldest out first.
+// answerQueue limits the bytes of the stored answers; the oldest are discarded
+// first.
 type answerQueue struct {
-	queue []*record
-	bytes int
+	records []*record
+	bytes   int
 }
 
-func (q *answerQueue) push(l *Ledger, r *record) {
-	q.queue = append(q.queue, r)
+func (q *answerQueue) add(l *Ledger, r *record) {
+	q.records = append(q.records, r)
 	q.bytes += len(r.answer.Body)
-	for q.bytes > l.cfg.MaxAnswerBytes && len(q.queue) > 0 {
-		q.forget(q.queue[0])
+	for q.bytes > l.cfg.MaxAnswerBytes && len(q.records) > 0 {
+		q.discard(q.records[0])
 	}
 }
 
-// forget drops one answer, and from the queue's front those that are gone.
-func (q *answerQueue) forget(r *record) {
+// discard removes the answer of r, and trims the front of the queue.
+func (q *answerQueue) discard(r *record) {
 	if r.answer == nil {
 		return
 	}
@@ -54,8 +56,9 @@
 	q.trim()
 }
 
+// trim removes records without an answer from the front of the queue.
 func (q *answerQueue) trim() {
-	for len(q.queue) > 0 && q.queue[0].answer == nil {
-		q.queue = q.queue[1:]
+	for len(q.records) > 0 && q.records[0].answer == nil {
+		q.records = q.records[1:]
 	}
 }
--- a/pkg/claims/claims.go
+++ b/pkg/claims/claims.go
@@ -1,44 +1,45 @@
-// Package claims makes non-idempotent requests run at most once, without
-// shared state.
+// Package claims runs non-idempotent requests at most once, without shared
+// state.
 //
 // # Design
 //
-// A caller takes a ticket before it sends a non-idempotent request. A ticket
-// names the one process incarnation that may ever run the request: its owner.
-// An entry that gets a ticket of another owner passes the request on; if the
-// owner can't be reached, or has been replaced, the answer is MayHaveRun at
-// once. No view of the fleet, no clock of another VM and no other node stands
-// between a ticket and its owner, so entries that disagree, a data centre
-// that is cut off, and a process that wakes late can't make two runs.
+// A caller obtains a ticket before it sends a non-idempotent request. The ticket
+// names its owner, the only process incarnation that may run the request. An
+// entry that receives a ticket of another owner forwards the request to it. If
+// the owner is unreachable or has been replaced, the outcome is MayHaveRun at
+// once. Ownership depends on no view of the fleet, on no clock of another VM and
+// on no third node, so entries with different views, a data centre that is cut
+// off and a process that resumes after a suspension can't cause a second run.
 //
 // The states of a ticket at its owner:
 //
-//		            Begin                 Finish
-//		[unused] ----------> [running] ----------> [finished] --expiry--> [expired]
-//		    |   Burn                                   ^                      ^
-//		    +------------------------------------------+                      |
-//		    +------------------------ expiry ---------------------------------+
+//	          Begin                 Finish
+//	[unused] ----------> [running] ----------> [finished]
+//	    |                                          |
+//	    +--- expiry ---> [expired] <--- expiry ----+
 //
-//	  - unused: no state is kept; the signature proves that the ticket was minted.
-//	  - running: a repeat attaches and gets the whole answer from its start.
-//	  - finished: a repeat gets the stored outcome, also when it is NotRun. A
-//	    ticket that was answered "not run" is burnt, because a late duplicate of
-//	    an earlier attempt could otherwise still run it. The refusal carries a
-//	    new ticket.
-//	  - expired: refused as MayHaveRun, never run. The age is measured on the
-//	    owner's own monotonic clock.
+// A request is handled by the state of its ticket:
 //
-// Memory is bounded when tickets are minted: at most MaxTickets are within
-// their validity, so at most that many records exist. Answers are kept within
-// MaxAnswerBytes, the oldest forgotten first; their records stay.
+//   - unused: the request runs. No state is stored; the signature proves that the
+//     ticket was minted.
+//   - running: a repeated request attaches and gets the whole answer from its start.
+//   - finished: a repeated request gets the stored outcome, also when it is NotRun.
+//     A refusal consumes the ticket too, because a delayed duplicate of an earlier
+//     attempt could otherwise still run it; the refusal carries a new ticket.
+//   - expired: refused as MayHaveRun, never run. The age is measured on the
+//     owner's monotonic clock.
 //
-// A planned stop hands the authority, which is the signing secret with the
-// records, to exactly one successor. The old owner freezes first and never
-// runs again, so the right exists at most once whether or not the message
-// arrives. (Brief, "What must always hold"; the ways
-// weighed are in docs/design/0002-at-most-once.md.)
+// Memory is bounded when tickets are minted: at most MaxTickets are within their
+// validity, so at most that many records exist. Stored answers are limited to
+// MaxAnswerBytes; beyond it the oldest are discarded, and their records stay.
 //
-// The package does no I/O; the caller serialises calls.
+// On a planned stop the owner hands over its authority, which is the signing
+// secret together with the records, to exactly one successor. It freezes first
+// and never runs a ticket again, so at most one process holds the authority
+// whether or not the message arrives. docs/design/0002-at-most-once.md compares
+// the alternatives.
+//
+// The package does no I/O, and its types are not safe for concurrent use.
 package claims
 
 import (
@@ -50,70 +51,69 @@
 	"github.com/bridgehoist/bridgehoist/pkg/outcome"
 )
 
-// Defaults of Config.
+// Defaults for Config.
 const (
-	DefaultValidity       = 2 * time.Minute
-	DefaultKeepFinished   = 30 * time.Second
-	DefaultMaxTickets     = 20_000
-	DefaultMaxAnswerBytes = 8 << 20
+	DefaultValidity          = 2 * time.Minute
+	DefaultFinishedRetention = 30 * time.Second
+	DefaultMaxTickets        = 20_000
+	DefaultMaxAnswerBytes    = 8 << 20
 )
 
-// Config holds the settings of a ledger.
+// Config configures a Ledger. Zero durations and limits get the defaults.
 type Config struct {
 	VM          string
 	PeerAddress string
 	Incarnation Incarnation
-	// Secret signs tickets; it never leaves the process but in a handover.
+	// Secret is the key that signs tickets. It leaves the process only in a handover.
 	Secret []byte
-	// Validity is how long a ticket may be used after it was minted.
+	// Validity is how long after its minting a ticket may be used.
 	Validity time.Duration
-	// KeepFinished is how long an outcome is kept at least.
-	KeepFinished time.Duration
-	// MaxTickets bounds the tickets within their validity.
+	// FinishedRetention is how long a stored outcome is kept at least.
+	FinishedRetention time.Duration
+	// MaxTickets limits the number of tickets within their validity.
 	MaxTickets int
-	// MaxAnswerBytes bounds the stored answers.
+	// MaxAnswerBytes limits the total size of the stored answers' bodies.
 	MaxAnswerBytes int
 }
 
 func (c Config) withDefaults() Config {
 	c.Validity = cmp.Or(c.Validity, DefaultValidity)
-	c.KeepFinished = cmp.Or(c.KeepFinished, DefaultKeepFinished)
+	c.FinishedRetention = cmp.Or(c.FinishedRetention, DefaultFinishedRetention)
 	c.MaxTickets = cmp.Or(c.MaxTickets, DefaultMaxTickets)
 	c.MaxAnswerBytes = cmp.Or(c.MaxAnswerBytes, DefaultMaxAnswerBytes)
 	return c
 }
 
-// Key names a record.
+// Key identifies the record of a ticket.
 type Key struct {
 	Incarnation Incarnation
 	Serial      uint64
 }
 
-// Answer is a stored answer.
+// Answer is the stored answer of a finished request.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Action is what to do with a request that carries a ticket.
+// Action tells the caller of Begin how to handle a request that carries a ticket.
 type Action int
 
-// The actions.
 const (
-	// Refuse: answer with the error.
+	// Refuse means that the request is answered with Decision.Err.
 	Refuse Action = iota
-	// Run: this is the first attempt; the caller runs it and calls Finish.
+	// Run means that this is the first attempt: the caller runs it and calls Finish.
 	Run
-	// Attach: it is running; follow it from its start.
+	// Attach means that the request is running: the caller gets its answer from the start.
 	Attach
-	// Replay: it is finished; answer with the stored outcome.
+	// Replay means that the request is finished: it is answered with the stored outcome.
 	Replay
-	// Forward: another entry is the owner.
+	// Forward means that another entry owns the ticket.
 	Forward
 )
 
-// Decision is the answer of Begin.
+// Decision is the result of Begin.
 type Decision struct {
 	Action Action
 	Key    Key
@@ -141,20 +141,22 @@
 	answer     *Answer
 }
 
-// authority is the right to run the tickets of one incarnation.
+// authority is the right to run the tickets that one incarnation minted.
 type authority struct {
 	secret []byte
-	// since and elapsed give the incarnation's own time: elapsed at since.
-	since   time.Time
-	elapsed time.Duration
+	// The incarnation's monotonic time, in which tickets are dated, was
+	// elapsedAtAcquisition at the local time acquiredAt.
+	acquiredAt           time.Time
+	elapsedAtAcquisition time.Duration
 }
 
+// age returns the time since a ticket of the incarnation was minted.
 func (a *authority) age(now time.Time, mintedMS uint64) time.Duration {
-	own := a.elapsed + now.Sub(a.since)
-	return own - time.Duration(mintedMS)*time.Millisecond
+	elapsed := a.elapsedAtAcquisition + now.Sub(a.acquiredAt)
+	return elapsed - time.Duration(mintedMS)*time.Millisecond
 }
 
-// Ledger holds the tickets that this process may run.
+// Ledger tracks the tickets that this process may run.
 type Ledger struct {
 	cfg         Config
 	authorities map[Incarnation]*authority
@@ -163,11 +165,12 @@
 	minted      mintWindow
 	answers     answerQueue
 	frozen      bool
-	// adopted are the incarnations ever taken over, and the own one.
+	// adopted holds the own incarnation and every one whose authority was adopted, also after
+	// that authority has expired.
 	adopted map[Incarnation]bool
 }
 
-// New makes a ledger whose own time starts now.
+// New returns a ledger with the authority over cfg.Incarnation, whose time starts at now.
 func New(now time.Time, cfg Config) *Ledger {
 	cfg = cfg.withDefaults()
 	l := &Ledger{
@@ -176,12 +179,12 @@
 		records:     map[Key]*record{},
 		adopted:     map[Incarnation]bool{cfg.Incarnation: true},
 	}
-	l.authorities[cfg.Incarnation] = &authority{secret: cfg.Secret, since: now}
+	l.authorities[cfg.Incarnation] = &authority{secret: cfg.Secret, acquiredAt: now}
 	return l
 }
 
-// Mint makes a ticket for a workspace. It returns false if the ledger is
-// frozen or holds as many tickets as it may.
+// Mint returns a new ticket for a workspace, as text. It reports false if the
+// ledger is frozen or MaxTickets are within their validity.
 func (l *Ledger) Mint(now time.Time, workspace string) (string, bool) {
 	if l.frozen {
 		return "", false
@@ -189,7 +192,7 @@
 	if l.minted.count(now, l.cfg.Validity) >= l.cfg.MaxTickets {
 		return "", false
 	}
-	own := l.authorities[l.cfg.Incarnation]
+	auth := l.authorities[l.cfg.Incarnation]
 	l.serial++
 	l.minted.add(now)
 	t := Ticket{
@@ -197,59 +200,61 @@
 		OwnerAddress: l.cfg.PeerAddress,
 		Incarnation:  l.cfg.Incarnation,
 		Serial:       l.serial,
-		MintedMS:     uint64((own.elapsed + now.Sub(own.since)) / time.Millisecond),
+		MintedMS:     uint64((auth.elapsedAtAcquisition + now.Sub(auth.acquiredAt)) / time.Millisecond),
 	}
-	t.mac = sign(own.secret, t, workspace)
+	t.mac = sign(auth.secret, t, workspace)
 	return t.encode(), true
 }
 
-// Holds reports whether this process has the authority over an incarnation.
-func (l *Ledger) Holds(i Incarnation) bool {
-	_, ok := l.authorities[i]
+// HasAuthority reports whether this process has the authority over an incarnation.
+func (l *Ledger) HasAuthority(incarnation Incarnation) bool {
+	_, ok := l.authorities[incarnation]
 	return ok
 }
 
-// Begin decides about a request that carries a ticket.
+// Begin decides how to handle a request that carries a ticket.
 func (l *Ledger) Begin(now time.Time, t Ticket, workspace string, digest Digest) Decision {
 	auth, ok := l.authorities[t.Incarnation]
 	if !ok {
-		return l.notMine(t)
+		return l.decideWithoutAuthority(t)
 	}
 	if !hmac.Equal(t.mac, sign(auth.secret, t, workspace)) {
 		return refuse(outcome.MayHaveRunf(outcome.CodeTicketInvalid, "the ticket is not valid for this workspace"))
 	}
 	key := Key{t.Incarnation, t.Serial}
 	if r := l.records[key]; r != nil {
-		return r.repeat(digest)
+		return r.decideRepeat(digest)
 	}
 	if auth.age(now, t.MintedMS) > l.cfg.Validity {
 		return refuse(outcome.MayHaveRunf(outcome.CodeTicketExpired, "the ticket has expired"))
 	}
 	if l.frozen {
-		// Only the successor may run it now.
+		// Only the successor may run it.
 		return Decision{Action: Forward}
 	}
 	l.records[key] = &record{key: key, mintedMS: t.MintedMS, digest: digest}
 	return Decision{Action: Run, Key: key}
 }
 
-// notMine tells a ticket of another entry from one of an earlier process on
-// this VM, whose memory is lost.
-func (l *Ledger) notMine(t Ticket) Decision {
+// decideWithoutAuthority handles a ticket over which this process has no
+// authority: it is refused if an earlier process on this VM minted it, as that
+// process's records are lost, and forwarded otherwise.
+func (l *Ledger) decideWithoutAuthority(t Ticket) Decision {
 	if t.OwnerVM == l.cfg.VM {
-		return refuse(OwnerReplaced())
+		return refuse(OwnerReplacedError())
 	}
 	return Decision{Action: Forward}
 }
 
-// OwnerReplaced is the outcome for a ticket whose owner's memory is lost.
-func OwnerReplaced() *outcome.Error {
+// OwnerReplacedError returns the outcome for a ticket whose owner's records are lost.
+func OwnerReplacedError() *outcome.Error {
 	return outcome.MayHaveRunf(outcome.CodeOwnerReplaced, "the owner of the ticket has been replaced")
 }
 
 func refuse(err *outcome.Error) Decision { return Decision{Action: Refuse, Err: err} }
 
-func (r *record) repeat(digest Digest) Decision {
+// decideRepeat handles a further request with the ticket of r.
+func (r *record) decideRepeat(digest Digest) Decision {
 	if r.digest != digest {
 		return refuse(outcome.MayHaveRunf(outcome.CodeTicketConflict, "the ticket was used for another request"))
 	}
@@ -266,8 +271,8 @@
 	return d
 }
 
-// Dispatch records that bytes of the request may now reach an endpoint. It
-// returns false if that would be a second run; the caller must then not send.
+// Dispatch records that the request is about to be sent to an endpoint. It
+// reports false if that would be a second run; the caller must then not send it.
 func (l *Ledger) Dispatch(key Key) bool {
 	r := l.records[key]
 	if !invariant.Check(r != nil && r.phase == running, invariant.AtMostOnce, "dispatch of a ticket that is not running") {
@@ -280,14 +285,14 @@
 	return true
 }
 
-// Undispatch takes a dispatch back on proof that the request did not run.
-func (l *Ledger) Undispatch(key Key) {
+// RevertDispatch reverts a dispatch after proof that the request did not run.
+func (l *Ledger) RevertDispatch(key Key) {
 	if r := l.records[key]; r != nil {
 		r.dispatched = false
 	}
 }
 
-// Finish stores the outcome of a run: an answer, or the error.
+// Finish stores the outcome of a run: an answer or an error.
 func (l *Ledger) Finish(now time.Time, key Key, answer *Answer, err *outcome.Error) {
 	r := l.records[key]
 	if !invariant.Check(r != nil && r.phase == running, invariant.OneFinal, "second outcome of serial %d", key.Serial) {
@@ -301,12 +306,12 @@
 	r.err = err
 	if answer != nil {
 		r.answer = answer
-		l.answers.push(l, r)
+		l.answers.add(l, r)
 	}
 }
 
-// Running counts the runs that have no outcome yet.
-func (l *Ledger) Running() int {
+// CountRunning returns the number of runs without an outcome.
+func (l *Ledger) CountRunning() int {
 	n := 0
 	for _, r := range l.records {
 		if r.phase == running {
@@ -316,24 +321,24 @@
 	return n
 }
 
-// Records counts the records kept.
-func (l *Ledger) Records() int { return len(l.records) }
+// CountRecords returns the number of stored records.
+func (l *Ledger) CountRecords() int { return len(l.records) }
 
-// Expire forgets records that no ticket can reach any more, and inherited
-// authorities whose tickets have all expired.
+// Expire removes finished records whose ticket and retention have expired, and
+// inherited authorities that have no record left and whose tickets have expired.
 func (l *Ledger) Expire(now time.Time) {
 	inUse := map[Incarnation]bool{l.cfg.Incarnation: true}
 	for key, r := range l.records {
 		if l.expired(now, r) {
-			l.answers.forget(r)
+			l.answers.discard(r)
 			delete(l.records, key)
 			continue
 		}
 		inUse[key.Incarnation] = true
 	}
-	for i, a := range l.authorities {
-		if !inUse[i] && now.Sub(a.since) > l.cfg.Validity {
-			delete(l.authorities, i)
+	for incarnation, a := range l.authorities {
+		if !inUse[incarnation] && now.Sub(a.acquiredAt) > l.cfg.Validity {
+			delete(l.authorities, incarnation)
 		}
 	}
 }
@@ -343,5 +348,5 @@
 		return false
 	}
 	age := l.authorities[r.key.Incarnation].age(now, r.mintedMS)
-	return age > l.cfg.Validity && now.Sub(r.finishedAt) > l.cfg.KeepFinished
+	return age > l.cfg.Validity && now.Sub(r.finishedAt) > l.cfg.FinishedRetention
 }
--- a/pkg/claims/handover.go
+++ b/pkg/claims/handover.go
@@ -9,66 +9,68 @@
 	"github.com/bridgehoist/bridgehoist/pkg/outcome"
 )
 
-// ErrStopping refuses a handover before anything of it was adopted, so the
-// sender may offer it to another entry.
-var ErrStopping = errors.New("claims: this entry is stopping and takes no tickets over")
+// ErrStopping is returned by Adopt if this entry is stopping. Nothing of the
+// handover was adopted, so the sender may offer it to another entry.
+var ErrStopping = errors.New("claims: entry is stopping and accepts no handover")
 
-// ErrNotAddressed refuses a handover that was meant for another process, such as
-// the one that ran on this VM before. The sender must not offer it elsewhere.
-var ErrNotAddressed = errors.New("claims: the handover is for another process")
+// ErrNotAddressed is returned by Adopt if the handover is addressed to another
+// process, such as the previous one on this VM. The sender must not offer it to
+// another entry.
+var ErrNotAddressed = errors.New("claims: handover is addressed to another process")
 
-// Freeze ends minting and running for good. Runs that have begun go on.
+// Freeze permanently stops the minting of tickets and the start of runs. Runs
+// that have begun continue.
 func (l *Ledger) Freeze() { l.frozen = true }
 
 // Frozen reports whether the ledger is frozen.
 func (l *Ledger) Frozen() bool { return l.frozen }
 
-// Export gives every authority to the process with the given incarnation. It
-// must be called after Freeze, with no run open, and its result goes to that
-// process only: a message whose fate is unknown must never be followed by one
-// to a second process.
-func (l *Ledger) Export(now time.Time, to []byte) *peerv1.HandoverRequest {
-	if !l.frozen || l.Running() > 0 {
+// Export returns the message that hands every authority over to the process with
+// the given incarnation, or nil if the ledger is not frozen or a run has no
+// outcome yet. The message goes to that process only: while it is unknown whether
+// a handover was adopted, no other process may be sent one.
+func (l *Ledger) Export(now time.Time, successorIncarnation []byte) *peerv1.HandoverRequest {
+	if !l.frozen || l.CountRunning() > 0 {
 		return nil
 	}
 	byIncarnation := map[Incarnation][]*peerv1.ClaimRecord{}
 	for _, r := range l.records {
-		i := r.key.Incarnation
-		byIncarnation[i] = append(byIncarnation[i], r.export())
+		incarnation := r.key.Incarnation
+		byIncarnation[incarnation] = append(byIncarnation[incarnation], r.export())
 	}
-	msg := &peerv1.HandoverRequest{FromVm: l.cfg.VM, ToIncarnation: to}
-	for i, a := range l.authorities {
+	msg := &peerv1.HandoverRequest{FromVm: l.cfg.VM, ToIncarnation: successorIncarnation}
+	for incarnation, a := range l.authorities {
 		msg.Authorities = append(msg.Authorities, &peerv1.Authority{
-			Incarnation: i[:],
+			Incarnation: incarnation[:],
 			Secret:      a.secret,
-			ElapsedMs:   uint64((a.elapsed + now.Sub(a.since)) / time.Millisecond),
-			Records:     byIncarnation[i],
+			ElapsedMs:   uint64((a.elapsedAtAcquisition + now.Sub(a.acquiredAt)) / time.Millisecond),
+			Records:     byIncarnation[incarnation],
 		})
 	}
 	return msg
 }
 
 func (r *record) export() *peerv1.ClaimRecord {
-	out := &peerv1.ClaimRecord{
+	msg := &peerv1.ClaimRecord{
 		Serial:        r.key.Serial,
 		MintedMs:      r.mintedMS,
 		RequestDigest: r.digest[:],
 	}
 	if r.err != nil {
-		out.Final = FinalOf(r.err)
+		msg.Final = EncodeFinal(r.err)
 	}
 	if r.answer != nil {
-		out.AnswerKept = true
-		out.Status = int32(r.answer.Status)
-		out.ContentType = r.answer.ContentType
-		out.Answer = r.answer.Body
+		msg.AnswerKept = true
+		msg.Status = int32(r.answer.Status)
+		msg.ContentType = r.answer.ContentType
+		msg.Answer = r.answer.Body
 	}
-	return out
+	return msg
 }
 
-// Adopt takes over the authorities of a stopping entry. An authority is adopted
-// once in the life of a process: a late duplicate of the message would bring
-// back tickets that have been run or given away since.
+// Adopt takes over the authorities of a stopping entry. A process adopts an
+// authority at most once: a delayed duplicate of the message would make tickets
+// usable again that have been run or handed over in the meantime.
 func (l *Ledger) Adopt(now time.Time, msg *peerv1.HandoverRequest) error {
 	if !bytes.Equal(msg.GetToIncarnation(), l.cfg.Incarnation[:]) {
 		return ErrNotAddressed
@@ -77,56 +79,57 @@
 		return ErrStopping
 	}
 	for _, a := range msg.GetAuthorities() {
-		var i Incarnation
-		if len(a.GetIncarnation()) != len(i) {
-			return errors.New("claims: bad incarnation in handover")
+		var incarnation Incarnation
+		if len(a.GetIncarnation()) != len(incarnation) {
+			return errors.New("claims: handover contains an incarnation of the wrong length")
 		}
-		copy(i[:], a.GetIncarnation())
-		if l.adopted[i] {
+		copy(incarnation[:], a.GetIncarnation())
+		if l.adopted[incarnation] {
 			continue
 		}
-		l.adopted[i] = true
+		l.adopted[incarnation] = true
 		elapsed := time.Duration(a.GetElapsedMs()) * time.Millisecond
-		l.authorities[i] = &authority{secret: a.GetSecret(), since: now, elapsed: elapsed}
+		l.authorities[incarnation] = &authority{secret: a.GetSecret(), acquiredAt: now, elapsedAtAcquisition: elapsed}
 		for _, r := range a.GetRecords() {
-			l.adoptRecord(now, i, r)
+			l.adoptRecord(now, incarnation, r)
 		}
 	}
 	return nil
 }
 
-func (l *Ledger) adoptRecord(now time.Time, i Incarnation, msg *peerv1.ClaimRecord) {
+func (l *Ledger) adoptRecord(now time.Time, incarnation Incarnation, msg *peerv1.ClaimRecord) {
 	r := &record{
-		key:        Key{i, msg.GetSerial()},
+		key:        Key{incarnation, msg.GetSerial()},
 		mintedMS:   msg.GetMintedMs(),
 		phase:      finished,
 		finishedAt: now,
-		err:        ErrorOf(msg.GetFinal()),
+		err:        DecodeFinal(msg.GetFinal()),
 	}
 	copy(r.digest[:], msg.GetRequestDigest())
 	l.records[r.key] = r
 	if msg.GetAnswerKept() {
 		r.answer = &Answer{Status: int(msg.GetStatus()), ContentType: msg.GetContentType(), Body: msg.GetAnswer()}
-		l.answers.push(l, r)
+		l.answers.add(l, r)
 	}
 }
 
-// Inherited lists the incarnations taken over from others and still held.
+// Inherited returns the incarnations over which this process has adopted the
+// authority, or nil if the ledger is frozen.
 func (l *Ledger) Inherited() [][]byte {
-	var out [][]byte
+	var incarnations [][]byte
 	if l.frozen {
 		return nil
 	}
-	for i := range l.authorities {
-		if i != l.cfg.Incarnation {
-			out = append(out, append([]byte(nil), i[:]...))
+	for incarnation := range l.authorities {
+		if incarnation != l.cfg.Incarnation {
+			incarnations = append(incarnations, append([]byte(nil), incarnation[:]...))
 		}
 	}
-	return out
+	return incarnations
 }
 
-// FinalOf encodes an error for a peer.
-func FinalOf(err *outcome.Error) *peerv1.RunFinal {
+// EncodeFinal encodes the outcome of a run for a peer; a nil error is Complete.
+func EncodeFinal(err *outcome.Error) *peerv1.RunFinal {
 	if err == nil {
 		return &peerv1.RunFinal{Outcome: int32(outcome.Complete)}
 	}
@@ -139,8 +142,8 @@
 	}
 }
 
-// ErrorOf decodes an error from a peer; nil stands for Complete.
-func ErrorOf(f *peerv1.RunFinal) *outcome.Error {
+// DecodeFinal decodes the outcome of a run from a peer; it returns nil for Complete.
+func DecodeFinal(f *peerv1.RunFinal) *outcome.Error {
 	if f == nil || outcome.Outcome(f.GetOutcome()) == outcome.Complete {
 		return nil
 	}
--- a/pkg/claims/ticket.go
+++ b/pkg/claims/ticket.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// prefix tells a ticket from a key that a caller made up.
-	prefix = "bht1-"
-	// macBytes of the HMAC are kept in a ticket.
+	// ticketPrefix distinguishes tickets from idempotency keys that callers generate.
+	ticketPrefix = "bht1-"
+	// macBytes is the length to which the HMAC in a ticket is truncated.
 	macBytes = 16
-	// maxTicketBytes bounds the text of a ticket.
+	// maxTicketBytes limits the length of an encoded ticket.
 	maxTicketBytes = 512
 )
 
@@ -31,20 +31,21 @@
 	mac          []byte
 }
 
-// Incarnation identifies one start of one process; it is random.
+// Incarnation identifies a process; it is random and drawn at each start.
 type Incarnation [16]byte
 
-// LooksLikeTicket tells a ticket, perhaps a damaged one, from a key that a
-// caller made up.
-func LooksLikeTicket(text string) bool { return strings.HasPrefix(text, prefix) }
+// HasTicketPrefix reports whether text is a ticket, possibly a damaged one, and
+// not an idempotency key that a caller generated.
+func HasTicketPrefix(text string) bool { return strings.HasPrefix(text, ticketPrefix) }
 
-// ParseTicket decodes a ticket. It reports false for text that is no ticket,
-// such as a key that the caller made up.
+// ParseTicket decodes a ticket. It reports false for text that is not a valid
+// encoding, such as an idempotency key that a caller generated. It doesn't check
+// the signature; see Ledger.Begin.
 func ParseTicket(text string) (Ticket, bool) {
-	if len(text) > maxTicketBytes || !LooksLikeTicket(text) {
+	if len(text) > maxTicketBytes || !HasTicketPrefix(text) {
 		return Ticket{}, false
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(text[len(prefix):])
+	raw, err := base64.RawURLEncoding.DecodeString(text[len(ticketPrefix):])
 	if err != nil {
 		return Ticket{}, false
 	}
@@ -76,13 +77,14 @@
 		Mac:          t.mac,
 	})
 	if err != nil {
-		// Only invalid UTF-8 in the VM's name fails here; settings exclude it.
+		// Marshal fails only for a VM name of invalid UTF-8, which the settings exclude.
 		panic(err)
 	}
-	return prefix + base64.RawURLEncoding.EncodeToString(raw)
+	return ticketPrefix + base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// sign binds a ticket to its owner's secret and to one workspace.
+// sign returns the truncated HMAC of a ticket and its workspace under the owner's
+// secret.
 func sign(secret []byte, t Ticket, workspace string) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write(t.Incarnation[:])
@@ -98,11 +100,11 @@
 	return mac.Sum(nil)[:macBytes]
 }
 
-// Digest identifies the content of a request.
+// Digest is a hash of a request's content.
 type Digest [sha256.Size]byte
 
-// DigestOf computes the digest of a request. Each part is preceded by its
-// length, so that no two lists of parts give the same input.
+// DigestOf computes the digest of a request's parts. Each part is prefixed with
+// its length, so that different lists of parts never hash the same input.
 func DigestOf(parts ...string) Digest {
 	h := sha256.New()
 	var n [8]byte
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -45,7 +45,7 @@
 mutant "at most once: records not kept" pkg/claims/claims.go 's/if r := l.records\[key\]; r != nil {/if r := l.records[key]; false {/' "$P ./pkg/claims"
 mutant "at most once: refusals not burnt" pkg/claims/claims.go 's/^\tr.phase = finished$/\tr.phase = finished\n\tif err != nil \&\& err.Outcome == outcome.NotRun {\n\t\tdelete(l.records, key)\n\t}/' "$P"
 mutant "at most once: old owner not frozen" pkg/claims/handover.go 's/func (l \*Ledger) Freeze() { l.frozen = true }/func (l *Ledger) Freeze() {}/' "$P ./pkg/claims"
-mutant "at most once: handover adopted again" pkg/claims/handover.go 's/if l.adopted\[i\] {/if l.Holds(i) {/' ./pkg/claims
+mutant "at most once: handover adopted again" pkg/claims/handover.go 's/if l.adopted\[incarnation\] {/if l.HasAuthority(incarnation) {/' ./pkg/claims
 mutant "at most once: handover taken by any process" pkg/claims/handover.go 's/if !bytes.Equal(msg.GetToIncarnation(), l.cfg.Incarnation\[:\]) {/if bytes.Equal(msg.GetToIncarnation(), nil) {/' "$P ./pkg/claims"
 mutant "at most once: expired tickets run" pkg/claims/claims.go 's/if auth.age(now, t.MintedMS) > l.cfg.Validity {/if false {/' "$P ./pkg/claims"
 mutant "at most once: signature not checked" pkg/claims/claims.go 's/if !hmac.Equal(t.mac, /if hmac.Equal(nil, /' ./pkg/claims
