--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -102,9 +102,9 @@
 	for _, s := range seeds {
 		v := membership.New(membership.Config{
 			VM: s.VM, DataCenter: s.DataCenter, PeerAddress: s.Address,
-			Epoch: 1, Incarnation: make([]byte, 16), Chance: n.rng.Float64,
+			Epoch: 1, Incarnation: make([]byte, 16), Random: n.rng.Float64,
 		})
-		v.Seed(seeds)
+		v.SetSeeds(seeds)
 		nd := &node{view: v, dc: s.DataCenter}
 		n.nodes = append(n.nodes, nd)
 		n.byName[s.VM] = nd
@@ -117,10 +117,10 @@
 func (n *network) beat(i int, nd *node) {
 	size := n.size
 	if (n.ticks+i)%payloadTicks != 0 {
-		nd.view.Beat(nil)
+		nd.view.Heartbeat(nil)
 		return
 	}
-	nd.view.Beat(func(r *peerv1.NodeRecord) {
+	nd.view.Heartbeat(func(r *peerv1.NodeRecord) {
 		r.Loads = &peerv1.Loads{}
 		r.UsageKeys, r.UsageInFlight, r.UsageQueued = nil, nil, nil
 		for k := range size.Homes {
@@ -144,7 +144,7 @@
 	n.ticks++
 	for i, nd := range n.nodes {
 		n.beat(i, nd)
-		for _, c := range nd.view.Round(n.now) {
+		for _, c := range nd.view.SelectPeers(n.now) {
 			n.exchange(nd, n.byName[c.VM])
 		}
 	}
@@ -168,12 +168,12 @@
 	}
 	asked := &peerv1.ExchangeRequest{}
 	n.pass(req, asked)
-	b.view.Heard(n.now, asked.GetDigests())
-	answer := b.view.Answer(n.now, asked.GetDigests(), scope)
+	b.view.MergeHeartbeats(n.now, asked.GetDigests())
+	answer := b.view.Respond(n.now, asked.GetDigests(), scope)
 	got := &peerv1.ExchangeResponse{}
 	n.pass(&peerv1.ExchangeResponse{Digests: answer.Digests, Records: answer.Records, WantedNodes: answer.Wanted}, got)
 	a.view.Merge(n.now, got.GetRecords())
-	a.view.Heard(n.now, got.GetDigests())
+	a.view.MergeHeartbeats(n.now, got.GetDigests())
 	a.table, b.table = max(a.table, b.table), max(a.table, b.table)
 	if len(got.GetWantedNodes()) == 0 {
 		return
--- a/internal/controllers/config_test.go
+++ b/internal/controllers/config_test.go
@@ -173,7 +173,7 @@
 	}
 	b := peering.NewBeliefs(view(vm), dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
 	peer := view(other)
-	peer.Beat(func(r *peerv1.NodeRecord) { r.State = peerv1.NodeState_NODE_STATE_LIVE })
+	peer.Heartbeat(func(r *peerv1.NodeRecord) { r.State = peerv1.NodeState_NODE_STATE_LIVE })
 	b.Merge(time.Now(), []*peerv1.NodeRecord{peer.Self()})
 	return b
 }
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -46,7 +46,7 @@
 func (e *Entry) watchClock(ctx context.Context) {
 	stop := clock.OnSuspended(func(missed time.Duration) {
 		e.log.Warn("suspended", "for", missed.Round(time.Millisecond))
-		e.beliefs.View(func(v *membership.View) { v.Missed(missed) })
+		e.beliefs.View(func(v *membership.View) { v.ExcludeSuspension(missed) })
 		e.kick()
 	})
 	defer stop()
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -31,13 +31,13 @@
 	// rand.Read never fails.
 	_, _ = rand.Read(incarnation)
 	view := membership.New(membership.Config{
-		VM:            g.vm.VM,
-		DataCenter:    g.vm.DataCenter,
-		PeerAddress:   g.vm.Peers,
-		NoticeAddress: noticeAddress(g.vm),
-		Epoch:         uint64(g.started.UnixMilli()),
-		Incarnation:   incarnation,
-		SmallView:     smallView,
+		VM:             g.vm.VM,
+		DataCenter:     g.vm.DataCenter,
+		PeerAddress:    g.vm.Peers,
+		NoticeAddress:  noticeAddress(g.vm),
+		Epoch:          uint64(g.started.UnixMilli()),
+		Incarnation:    incarnation,
+		SmallFleetSize: smallView,
 	})
 	g.beliefs = peering.NewBeliefs(view, g.dispatcher, g.cfg.readers(), g.onLeave)
 	g.beliefs.SetPayloadEvery(g.cfg.ExchangeEvery)
--- a/internal/gateway/suspended.go
+++ b/internal/gateway/suspended.go
@@ -34,7 +34,7 @@
 // may be over, connections may have died, and others know what came into force meanwhile.
 func (g *Gateway) onSuspended(ctx context.Context, missed time.Duration) {
 	g.log.Warn("suspended", "for", missed.Round(time.Millisecond), "fleet", g.fleetRevision())
-	g.beliefs.View(func(v *membership.View) { v.Missed(missed) })
+	g.beliefs.View(func(v *membership.View) { v.ExcludeSuspension(missed) })
 	if missed >= doubtFrom {
 		g.doubtful.Store(true)
 		go func() {
--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -133,7 +133,7 @@
 			b.forgetReport(id)
 		}
 	}
-	b.view.Seed(contacts(list))
+	b.view.SetSeeds(contacts(list))
 	b.dispatcher.Update(func(now time.Time, p scheduler.Policy) {
 		p.SetEndpoints(now, list.Endpoints)
 		// Before anything is sent: a life may be known to leave before it is listed.
@@ -221,7 +221,7 @@
 	if changed {
 		b.payloadAt = now
 	}
-	b.view.Beat(func(r *peerv1.NodeRecord) {
+	b.view.Heartbeat(func(r *peerv1.NodeRecord) {
 		r.State = b.state
 		r.StoreLost = b.storeLost
 		r.Inherited = inherited
@@ -231,7 +231,7 @@
 			b.setPayload(now, r)
 		}
 	})
-	b.view.Forget(now)
+	b.view.Expire(now)
 	b.applyMembers(now)
 	b.renewHomes(now)
 }
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -96,7 +96,7 @@
 // many answered of how many.
 func (c *Client) Round(ctx context.Context) (answered, asked int) {
 	var peers []membership.Contact
-	c.cfg.Beliefs.View(func(v *membership.View) { peers = v.Round(clock.Now()) })
+	c.cfg.Beliefs.View(func(v *membership.View) { peers = v.SelectPeers(clock.Now()) })
 	return c.Reconcile(ctx, peers), len(peers)
 }
 
@@ -143,7 +143,7 @@
 	takeDocuments(now, c.cfg.Store, resp.GetDocuments(), p.VM)
 	c.cfg.Beliefs.Merge(now, resp.GetRecords())
 	c.cfg.Beliefs.guard.Add(factsIn(now, resp.GetRequestFacts())...)
-	c.cfg.Beliefs.View(func(v *membership.View) { v.Heard(now, resp.GetDigests()) })
+	c.cfg.Beliefs.View(func(v *membership.View) { v.MergeHeartbeats(now, resp.GetDigests()) })
 	push := c.wanted(resp)
 	if push == nil {
 		return nil
--- a/internal/peering/homes.go
+++ b/internal/peering/homes.go
@@ -143,7 +143,7 @@
 		if e.Type != fleet.Engine || e.DataCenter == self.GetDataCenter() || !slices.Contains(e.Targets, target) {
 			continue
 		}
-		r := ranked{membership.RankOfHashes(xxhash.Sum64String(e.ID), own), i}
+		r := ranked{membership.RendezvousScoreOfHashes(xxhash.Sum64String(e.ID), own), i}
 		at, _ := slices.BinarySearchFunc(first, r, func(x, y ranked) int { return cmp.Compare(x.rank, y.rank) })
 		if at < spillPolls {
 			first = slices.Insert(first, at, r)
@@ -217,7 +217,7 @@
 func (b *Beliefs) ReadersAbove(now time.Time, job string, lately time.Duration) (all, reading int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.view.Above(now, job, func(m membership.Member) bool {
+	return b.view.HigherRanked(now, job, func(m membership.Member) bool {
 		return m.Age < lately && !m.Record.GetStoreLost()
 	})
 }
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -93,7 +93,7 @@
 	total := 0.0
 	for i, r := range records {
 		view := membership.New(membership.Config{
-			VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: 24, Chance: random.Float64,
+			VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallFleetSize: 24, Random: random.Float64,
 		})
 		view.Merge(f.now, records)
 		cfg := scheduler.Version(scheduler.ForwardingVersion)
@@ -118,17 +118,17 @@
 // exchange has an entry reconcile with those that its view picks.
 func (f *limitedFleet) exchange(e *limitedEntry) {
 	e.beliefs.Beat(f.now, nil)
-	for _, c := range e.beliefs.view.Round(f.now) {
+	for _, c := range e.beliefs.view.SelectPeers(f.now) {
 		peer := f.byName[c.VM]
 		if peer.gone {
 			continue
 		}
 		scope := e.beliefs.view.ScopeWith(c)
 		theirs := e.beliefs.view.Digests(f.now, scope)
-		peer.beliefs.view.Heard(f.now, theirs)
-		a := peer.beliefs.view.Answer(f.now, theirs, scope)
+		peer.beliefs.view.MergeHeartbeats(f.now, theirs)
+		a := peer.beliefs.view.Respond(f.now, theirs, scope)
 		e.beliefs.Merge(f.now, a.Records)
-		e.beliefs.view.Heard(f.now, a.Digests)
+		e.beliefs.view.MergeHeartbeats(f.now, a.Digests)
 		peer.beliefs.Merge(f.now, e.beliefs.view.Records(a.Wanted))
 	}
 }
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -103,8 +103,8 @@
 		scope = ""
 	}
 	s.beliefs.View(func(v *membership.View) {
-		v.Heard(now, msg.GetDigests())
-		a := v.Answer(now, msg.GetDigests(), scope)
+		v.MergeHeartbeats(now, msg.GetDigests())
+		a := v.Respond(now, msg.GetDigests(), scope)
 		resp.Digests, resp.Records, resp.WantedNodes = a.Digests, a.Records, a.Wanted
 	})
 	missing, wanted := s.beliefs.guard.Compare(keysIn(msg.GetRequestFactKeys()))
--- a/internal/peering/spread_test.go
+++ b/internal/peering/spread_test.go
@@ -49,7 +49,7 @@
 	}
 	for i, r := range records {
 		e := &spreading{name: r.GetVm(), set: quarantine.New(), round: s.now.Add(time.Duration(random.Int64N(int64(roundEvery))))}
-		e.view = membership.New(membership.Config{VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: smallView, Chance: random.Float64})
+		e.view = membership.New(membership.Config{VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallFleetSize: smallView, Random: random.Float64})
 		e.view.Merge(s.now, records)
 		e.set.SetRank(i, size)
 		s.entries = append(s.entries, e)
@@ -84,7 +84,7 @@
 			e.round = s.now.Add(roundEvery)
 		}
 		e.kicked, e.kick = false, s.now.Add(kickEvery)
-		for _, c := range e.view.Round(s.now) {
+		for _, c := range e.view.SelectPeers(s.now) {
 			s.exchanges++
 			peer := s.byName[c.VM]
 			missing, wanted := peer.set.Compare(e.set.Keys())
--- a/internal/proof/atmostonce_test.go
+++ b/internal/proof/atmostonce_test.go
@@ -169,7 +169,7 @@
 	if !n.up {
 		return
 	}
-	n.view.Beat(func(r *peerv1.NodeRecord) {
+	n.view.Heartbeat(func(r *peerv1.NodeRecord) {
 		r.State = peerv1.NodeState_NODE_STATE_LEFT
 		r.Inherited = nil
 	})
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -126,13 +126,13 @@
 	}
 	n.view = membership.New(membership.Config{
 		VM: n.vm, DataCenter: n.dc, PeerAddress: n.address(),
-		Epoch: n.epoch, Incarnation: append([]byte(nil), n.incarnation[:]...), Chance: n.w.rng.Float64,
+		Epoch: n.epoch, Incarnation: append([]byte(nil), n.incarnation[:]...), Random: n.w.rng.Float64,
 	})
 	var seeds []membership.Contact
 	for _, other := range n.w.nodes {
 		seeds = append(seeds, membership.Contact{VM: other.vm, DataCenter: other.dc, Address: other.address()})
 	}
-	n.view.Seed(seeds)
+	n.view.SetSeeds(seeds)
 	n.table = register.New(checkTable)
 	n.drains = drain.New()
 	n.ledger = claims.New(n.w.Now(), claims.Config{
@@ -197,14 +197,14 @@
 }
 
 func (n *node) gossip() {
-	n.view.Beat(func(r *peerv1.NodeRecord) {
+	n.view.Heartbeat(func(r *peerv1.NodeRecord) {
 		r.Inherited = n.ledger.Inherited()
 		r.Leaves = r.Leaves[:0]
 		for _, l := range n.drains.All() {
 			r.Leaves = append(r.Leaves, &peerv1.Leave{Endpoint: l.Endpoint, Incarnation: l.Incarnation})
 		}
 	})
-	for _, c := range n.view.Round(n.w.Now()) {
+	for _, c := range n.view.SelectPeers(n.w.Now()) {
 		n.exchange(n.w.nodeAt(c.Address))
 	}
 }
@@ -214,12 +214,12 @@
 	scope := n.view.ScopeWith(membership.Contact{DataCenter: n.w.nodes[to].dc})
 	digests, held := n.view.Digests(n.w.Now(), scope), n.held()
 	n.w.send(n.index, to, func(p *node) {
-		p.view.Heard(p.w.Now(), digests)
-		a := p.view.Answer(p.w.Now(), digests, scope)
+		p.view.MergeHeartbeats(p.w.Now(), digests)
+		a := p.view.Respond(p.w.Now(), digests, scope)
 		theirs := p.held()
 		p.w.send(p.index, n.index, func(n *node) {
 			n.merge(a.Records)
-			n.view.Heard(n.w.Now(), a.Digests)
+			n.view.MergeHeartbeats(n.w.Now(), a.Digests)
 			n.offer(theirs)
 			push := n.view.Records(a.Wanted)
 			n.w.send(n.index, p.index, func(p *node) {
--- a/pkg/membership/assign.go
+++ b/pkg/membership/assign.go
@@ -13,53 +13,54 @@
 )
 
 // Assigned reports whether the owner is among the count live entries of its
-// data centre that rank highest for the job, by rendezvous hashing. Entries
-// that disagree on who is alive do a job too often or, for a moment, not at
-// all; so only jobs for which both are harmless are shared out this way:
-// polling endpoints and watching the platform.
+// data centre with the highest scores for a job, by rendezvous hashing. While
+// the views of entries differ, more than count entries may do a job or, for a
+// moment, fewer or none; so it serves only for jobs where both are harmless, such
+// as polling endpoints and watching the platform.
 func (v *View) Assigned(now time.Time, job string, count int) bool {
-	above, _ := v.Above(now, job, func(Member) bool { return true })
-	return above < count
+	higher, _ := v.HigherRanked(now, job, func(Member) bool { return true })
+	return higher < count
 }
 
-// Above counts the live entries of the data centre that rank above the owner for a job, and those
-// of them that a condition holds for.
-func (v *View) Above(now time.Time, job string, holds func(Member) bool) (all, holding int) {
-	mine := Rank(job, v.cfg.VM)
+// HigherRanked returns how many live peers of the own data centre have a higher score for a job
+// than the owner, and how many of those satisfy matches.
+func (v *View) HigherRanked(now time.Time, job string, matches func(Member) bool) (total, matching int) {
+	ownScore := RendezvousScore(job, v.cfg.VM)
 	for _, n := range v.nodes {
 		if n.record.GetDataCenter() != v.cfg.DataCenter || v.status(now, n) != Alive {
 			continue
 		}
-		if Rank(job, n.record.GetVm()) <= mine {
+		if RendezvousScore(job, n.record.GetVm()) <= ownScore {
 			continue
 		}
-		all++
-		if holds(v.member(now, n)) {
-			holding++
+		total++
+		if matches(v.member(now, n)) {
+			matching++
 		}
 	}
-	return all, holding
+	return total, matching
 }
 
-// LocalSize counts the live entries of the own data centre, the owner included.
+// LocalSize returns the number of live entries of the own data centre, including the owner.
 func (v *View) LocalSize(now time.Time) int {
 	n := 1
-	for _, other := range v.nodes {
-		if other.record.GetDataCenter() == v.cfg.DataCenter && v.status(now, other) == Alive {
+	for _, peer := range v.nodes {
+		if peer.record.GetDataCenter() == v.cfg.DataCenter && v.status(now, peer) == Alive {
 			n++
 		}
 	}
 	return n
 }
 
-// Rank gives the rank of a VM for a job in rendezvous hashing; the highest does it.
-func Rank(job, vm string) uint64 {
-	return RankOfHashes(xxhash.Sum64String(job), xxhash.Sum64String(vm))
+// RendezvousScore returns the score of a VM for a job in rendezvous hashing (highest random
+// weight); the job is assigned to the VMs with the highest scores.
+func RendezvousScore(job, vm string) uint64 {
+	return RendezvousScoreOfHashes(xxhash.Sum64String(job), xxhash.Sum64String(vm))
 }
 
-// RankOfHashes is Rank of names whose hashes are known, so that many jobs can be shared out among
-// many entries without hashing the names of each pair.
-func RankOfHashes(job, vm uint64) uint64 {
+// RendezvousScoreOfHashes is RendezvousScore for the xxhash values of the names, so that many jobs
+// can be assigned among many entries without hashing both names of each pair.
+func RendezvousScoreOfHashes(job, vm uint64) uint64 {
 	// The finalizer of MurmurHash3.
 	h := job ^ bits.RotateLeft64(vm, 32)
 	h ^= h >> 33
@@ -69,49 +70,50 @@
 	return h ^ h>>33
 }
 
-// Ranking shares many jobs out among the live entries of a data centre.
+// Ranking assigns many jobs among the live entries of a data centre. It holds the hashes of their
+// names at the time of its creation.
 type Ranking struct {
-	self   uint64
-	others []uint64
+	selfHash   uint64
+	peerHashes []uint64
 }
 
-// Ranking ranks those that are live now.
+// Ranking returns a Ranking of the entries of the own data centre that are live at now.
 func (v *View) Ranking(now time.Time) Ranking {
-	r := Ranking{self: xxhash.Sum64String(v.cfg.VM)}
+	r := Ranking{selfHash: xxhash.Sum64String(v.cfg.VM)}
 	for _, n := range v.nodes {
 		if n.record.GetDataCenter() == v.cfg.DataCenter && v.status(now, n) == Alive {
-			r.others = append(r.others, xxhash.Sum64String(n.record.GetVm()))
+			r.peerHashes = append(r.peerHashes, xxhash.Sum64String(n.record.GetVm()))
 		}
 	}
 	return r
 }
 
-// Size counts the entries, the owner included.
-func (r Ranking) Size() int { return len(r.others) + 1 }
+// Size returns the number of entries, including the owner.
+func (r Ranking) Size() int { return len(r.peerHashes) + 1 }
 
-// Assigned is View.Assigned.
+// Assigned is View.Assigned for the entries of the ranking.
 func (r Ranking) Assigned(job string, count int) bool {
-	hash := xxhash.Sum64String(job)
-	mine := RankOfHashes(hash, r.self)
-	above := 0
-	for _, other := range r.others {
-		if RankOfHashes(hash, other) <= mine {
+	jobHash := xxhash.Sum64String(job)
+	ownScore := RendezvousScoreOfHashes(jobHash, r.selfHash)
+	higher := 0
+	for _, peerHash := range r.peerHashes {
+		if RendezvousScoreOfHashes(jobHash, peerHash) <= ownScore {
 			continue
 		}
-		if above++; above >= count {
+		if higher++; higher >= count {
 			return false
 		}
 	}
-	return above < count
+	return higher < count
 }
 
-// Successor picks the entry that takes over the owner's tickets: the live one
-// of the own data centre that ranks highest, else of any other. Those that have
-// refused are left out.
+// Successor returns the entry that is to take over the owner's tickets: the live
+// one with the highest rendezvous score in the own data centre or, if there is
+// none, in the others. VMs in refused are excluded.
 func (v *View) Successor(now time.Time, refused map[string]bool) (Contact, bool) {
 	var local, remote []Contact
 	for _, m := range v.Members(now) {
-		if m.Status != Alive || !isLive(m) || refused[m.VM] {
+		if m.Status != Alive || !inLiveState(m) || refused[m.VM] {
 			continue
 		}
 		if m.DataCenter == v.cfg.DataCenter {
@@ -122,20 +124,21 @@
 	}
 	for _, group := range [][]Contact{local, remote} {
 		if len(group) > 0 {
-			return slices.MaxFunc(group, v.bySuccession), true
+			return slices.MaxFunc(group, v.compareSuccessors), true
 		}
 	}
 	return Contact{}, false
 }
 
-func (v *View) bySuccession(a, b Contact) int {
+func (v *View) compareSuccessors(a, b Contact) int {
 	job := "successor/" + v.cfg.VM
-	return cmp.Compare(Rank(job, a.VM), Rank(job, b.VM))
+	return cmp.Compare(RendezvousScore(job, a.VM), RendezvousScore(job, b.VM))
 }
 
-func isLive(m Member) bool { return m.Record.GetState() == peerv1.NodeState_NODE_STATE_LIVE }
+// inLiveState reports whether a member is neither leaving nor has left, by its own record.
+func inLiveState(m Member) bool { return m.Record.GetState() == peerv1.NodeState_NODE_STATE_LIVE }
 
-// Inheritor finds the member that has taken over the tickets of an incarnation.
+// Inheritor returns the member that has inherited the tickets of an incarnation.
 func (v *View) Inheritor(now time.Time, incarnation []byte) (Member, bool) {
 	for name, n := range v.nodes {
 		for _, i := range n.record.GetInherited() {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,37 +1,43 @@
-// Package membership keeps each entry's view of the other entries.
+// Package membership maintains each entry's view of the other entries by gossip.
 //
 // # Design
 //
-// Every entry owns one NodeRecord. Each second or so it beats: its heartbeat
-// rises, and the record's version if anything in it has changed. It then picks
-// a few peers of its own data centre and, rarely, one of another, and
-// reconciles: it sends digests, which are a hash, the heartbeat and the version
-// of each node; takes the records in return that are newer there; and pushes
-// those that the other wants. An unchanged record costs its digest only.
+// Every entry owns one NodeRecord. About once a second it raises its heartbeat,
+// and the version of its record if the content has changed. It then selects a few
+// peers of its own data centre and, rarely, one of another, and reconciles with
+// each of them: it sends digests, which hold the ID, heartbeat and version of each
+// node; receives the records that are newer at the peer; and pushes those that the
+// peer wants. An unchanged record costs its digest only.
 //
-// Digests are of the own data centre; only one exchange in twenty, and those with
-// other data centres, are of all nodes. The cost of a node is therefore bounded
-// by the size of its own data centre, and what is known of others is older.
+// Most exchanges cover the nodes of the own data centre. One exchange in twenty,
+// and every one with another data centre, covers all nodes. The cost per node is
+// therefore bounded by the size of its own data centre, and the view of other data
+// centres is older.
 //
-// Nobody decides for others that a node is gone: each entry suspects a node
-// whose heartbeat it has not seen rise for SuspectAfter on its own clock, and
-// calls it dead after DeadAfter. Dead nodes are left out of digests, so that
-// they don't come back as news from one that has not yet noticed.
+// Each entry detects failures on its own, without consensus: it suspects a node
+// of which it has received no update, that is no higher heartbeat and no newer
+// record, for SuspectAfter on the local clock, and considers it dead after
+// DeadAfter. Dead nodes are left out of digests, so that peers that have not yet
+// detected the failure don't bring them back.
 //
-//	        heard a higher heartbeat
-//	      +------------------------------+
-//	      v                              |
-//	[alive] --no news SuspectAfter--> [suspect] --no news DeadAfter--> [dead] --ForgetAfter--> gone
-//	   |  record says left                                               |
-//	   +--------------------------> [left] --ForgetAfter--> gone         +-- heard --> [alive]
+//	              update
+//	   +--------------------------+
+//	   v                          |
+//	[alive] -- SuspectAfter --> [suspect] -- DeadAfter --> [dead] -- ExpireAfter --> removed
+//	   ^                                                     |
+//	   +----------------------- update ----------------------+
 //
-// A process restart on the same VM has a new random incarnation and a higher
-// epoch. If a peer knows the VM under a higher epoch than ours (a wall clock
-// was set back), we raise ours above it: no two clocks are ever compared for
-// safety, only to order the incarnations of one VM.
+//	any -- record with state LEFT --> [left] -- ExpireAfter --> removed
 //
-// The package does no I/O: the daemon moves the messages. The caller serialises
-// calls.
+// All times count from the last update.
+//
+// A process restarted on the same VM has a new random incarnation and a higher
+// epoch. If a peer has a record of the VM with another incarnation and an epoch
+// that is not lower, because the wall clock was set back, the process raises its
+// own epoch above it. Safety never depends on a comparison of two clocks; epochs
+// only order the incarnations of one VM.
+//
+// The package does no I/O, and its types are not safe for concurrent use.
 package membership
 
 import (
@@ -48,10 +54,9 @@
 	peerv1 "github.com/bridgehoist/bridgehoist/gen/bridgehoist/peer/v1"
 )
 
-// Status is what this entry thinks of a node.
+// Status is a node's state in the local view.
 type Status int
 
-// The statuses.
 const (
 	Alive Status = iota
 	Suspect
@@ -59,121 +64,124 @@
 	Left
 )
 
-// String names the status for status pages.
+// String returns the name of the status that status pages show.
 func (s Status) String() string {
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Config holds the settings. All durations are of the local monotonic clock.
+// Config configures a View. All durations are of the local monotonic clock.
 type Config struct {
 	VM          string
 	DataCenter  string
 	PeerAddress string
-	// NoticeAddress is where datagrams about sent prompts are taken; empty for
-	// nowhere.
+	// NoticeAddress is the address that receives prompt notices as datagrams; empty
+	// for none.
 	NoticeAddress string
 	Epoch         uint64
 	Incarnation   []byte
-	// SuspectAfter without news makes a node suspect.
+	// SuspectAfter is the time without an update after which a node is suspect.
 	SuspectAfter time.Duration
-	// DeadAfter without news makes a node dead.
+	// DeadAfter is the time without an update after which a node is dead.
 	DeadAfter time.Duration
-	// ForgetAfter without news forgets a dead or left node.
-	ForgetAfter time.Duration
-	// RemoteFactor stretches the times for nodes of other data centres, which
-	// are heard of more rarely.
-	RemoteFactor int
-	// SmallView is up to how many nodes every exchange is of all nodes and each round
-	// reaches another data centre: in a small fleet all know all within about a
-	// second. Beyond it the cost is bounded by the data centre.
-	SmallView int
-	// Fanout is how many peers of the own data centre each round contacts.
+	// ExpireAfter is the time without an update after which a dead or left node is removed.
+	ExpireAfter time.Duration
+	// RemoteTimeoutFactor multiplies SuspectAfter and DeadAfter for nodes of other data
+	// centres, whose heartbeats arrive more rarely.
+	RemoteTimeoutFactor int
+	// SmallFleetSize is the number of peers below which every exchange covers all nodes and
+	// each round contacts another data centre, so that changes reach all nodes within about
+	// a second. In larger fleets the size of the data centre bounds the cost.
+	SmallFleetSize int
+	// Fanout is the number of peers of the own data centre that each round contacts.
 	Fanout int
-	// Chance, a number within 0 to 1, gives the next random number.
-	Chance func() float64
+	// Random returns the next random number, within 0 to 1.
+	Random func() float64
 }
 
-// Defaults for a heartbeat a second.
+// Defaults for Config, for one heartbeat a second.
 const (
-	DefaultSuspectAfter = 8 * time.Second
-	DefaultDeadAfter    = 16 * time.Second
-	DefaultForgetAfter  = 10 * time.Minute
-	DefaultRemoteFactor = 8
-	DefaultFanout       = 2
+	DefaultSuspectAfter        = 8 * time.Second
+	DefaultDeadAfter           = 16 * time.Second
+	DefaultExpireAfter         = 10 * time.Minute
+	DefaultRemoteTimeoutFactor = 8
+	DefaultFanout              = 2
 )
 
-// WithDefaults fills what is not set.
+// WithDefaults returns c with the defaults for fields that are not set.
 func (c Config) WithDefaults() Config {
 	c.SuspectAfter = cmp.Or(c.SuspectAfter, DefaultSuspectAfter)
 	c.DeadAfter = cmp.Or(c.DeadAfter, DefaultDeadAfter)
-	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
-	c.RemoteFactor = cmp.Or(c.RemoteFactor, DefaultRemoteFactor)
+	c.ExpireAfter = cmp.Or(c.ExpireAfter, DefaultExpireAfter)
+	c.RemoteTimeoutFactor = cmp.Or(c.RemoteTimeoutFactor, DefaultRemoteTimeoutFactor)
 	c.Fanout = cmp.Or(c.Fanout, DefaultFanout)
-	if c.Chance == nil {
-		c.Chance = rand.Float64
+	if c.Random == nil {
+		c.Random = rand.Float64
 	}
 	return c
 }
 
-// ID names one incarnation of a node.
-type ID uint64
+// NodeID identifies one incarnation of a node.
+type NodeID uint64
 
-// IDOf computes the ID of the node that a record is of.
-func IDOf(r *peerv1.NodeRecord) ID {
+// NewNodeID returns the ID of a record's node, a hash of its VM, epoch and
+// incarnation.
+func NewNodeID(r *peerv1.NodeRecord) NodeID {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.GetVm())
 	var epoch [9]byte
 	binary.BigEndian.PutUint64(epoch[1:], r.GetEpoch())
 	_, _ = h.Write(epoch[:])
 	_, _ = h.Write(r.GetIncarnation())
-	return ID(h.Sum64())
+	return NodeID(h.Sum64())
 }
 
+// node is a peer in the view. updatedAt is the local time of its last update: a higher heartbeat or
+// a newer record.
 type node struct {
-	id        ID
+	id        NodeID
 	record    *peerv1.NodeRecord
 	heartbeat uint64
-	heard     time.Time
+	updatedAt time.Time
 }
 
-// Contact is a peer to reconcile with.
+// Contact holds the name, data centre and address of a peer.
 type Contact struct {
 	VM         string
 	DataCenter string
 	Address    string
 }
 
-// Member is one line of the view.
+// Member is a peer as listed in the view.
 type Member struct {
 	Contact
 	Status Status
-	// Age is the time since the heartbeat last rose.
+	// Age is the time since the last update: a higher heartbeat or a newer record.
 	Age    time.Duration
 	Record *peerv1.NodeRecord
 }
 
-// View holds what one entry knows.
+// View is one entry's view of itself, its owner, and its peers.
 type View struct {
 	cfg  Config
 	self *peerv1.NodeRecord
-	// selfID is the ID of self; it changes with the epoch only.
-	selfID    ID
+	// selfID is the ID of self; it changes only with the epoch.
+	selfID    NodeID
 	heartbeat uint64
 	nodes     map[string]*node
-	byID      map[ID]*node
-	// sorted are the nodes in the order of their names.
+	byID      map[NodeID]*node
+	// sorted holds the nodes in the order of their VM names.
 	sorted []*node
-	// seeds are the published entries that no record has come from yet.
+	// seeds holds the published entries by VM, without the owner.
 	seeds map[string]Contact
 }
 
-// New makes a view that knows only its owner.
+// New returns a view that contains only its owner.
 func New(cfg Config) *View {
 	cfg = cfg.WithDefaults()
 	v := &View{
 		cfg:   cfg,
 		nodes: map[string]*node{},
-		byID:  map[ID]*node{},
+		byID:  map[NodeID]*node{},
 		seeds: map[string]Contact{},
 		self: &peerv1.NodeRecord{
 			Vm:            cfg.VM,
@@ -186,16 +194,16 @@
 			State:         peerv1.NodeState_NODE_STATE_LIVE,
 		},
 	}
-	v.selfID = IDOf(v.self)
+	v.selfID = NewNodeID(v.self)
 	return v
 }
 
 // Self returns the owner's record; the caller must not change it.
 func (v *View) Self() *peerv1.NodeRecord { return v.self }
 
-// Beat raises the owner's heartbeat, and its version if update has changed its
-// record.
-func (v *View) Beat(update func(*peerv1.NodeRecord)) {
+// Heartbeat raises the owner's heartbeat, and the version of its record if update
+// changes it.
+func (v *View) Heartbeat(update func(*peerv1.NodeRecord)) {
 	v.heartbeat++
 	if update == nil {
 		return
@@ -207,44 +215,47 @@
 	}
 	next.Version++
 	if !sameCore(next, v.self) {
-		next.Version = (next.Version/payloadSteps + 1) * payloadSteps
+		next.Version = (next.Version/payloadChangesPerStep + 1) * payloadChangesPerStep
 	}
 	v.self = next
 }
 
-// Merge takes records from a peer and returns those that were news.
+// Merge merges records from a peer into the view and returns those that were newer
+// than the stored ones.
 func (v *View) Merge(now time.Time, records []*peerv1.NodeRecord) []*peerv1.NodeRecord {
-	var news []*peerv1.NodeRecord
+	var accepted []*peerv1.NodeRecord
 	for _, r := range records {
 		if r.GetVm() == "" {
 			continue
 		}
 		if r.GetVm() == v.cfg.VM {
-			v.refute(r)
+			v.refuteOwnRecord(r)
 			continue
 		}
-		if v.take(now, r) {
-			news = append(news, r)
+		if v.mergeRecord(now, r) {
+			accepted = append(accepted, r)
 		}
 	}
-	return news
+	return accepted
 }
 
-// Heard takes the heartbeats that a peer knows of.
-func (v *View) Heard(now time.Time, d *peerv1.Digests) {
+// MergeHeartbeats merges the heartbeats in a peer's digests into the view.
+func (v *View) MergeHeartbeats(now time.Time, d *peerv1.Digests) {
 	for i, id := range d.GetNodes() {
-		n := v.byID[ID(id)]
+		n := v.byID[NodeID(id)]
 		if n == nil || i >= len(d.GetHeartbeats()) {
 			continue
 		}
-		if beat := d.GetHeartbeats()[i]; beat > n.heartbeat {
-			n.heartbeat = beat
-			n.heard = now
+		if heartbeat := d.GetHeartbeats()[i]; heartbeat > n.heartbeat {
+			n.heartbeat = heartbeat
+			n.updatedAt = now
 		}
 	}
 }
 
-func (v *View) refute(r *peerv1.NodeRecord) {
+// refuteOwnRecord raises the owner's epoch above that of r if r is a record of
+// another incarnation on the owner's VM whose epoch is not lower.
+func (v *View) refuteOwnRecord(r *peerv1.NodeRecord) {
 	if bytes.Equal(r.GetIncarnation(), v.cfg.Incarnation) {
 		return
 	}
@@ -255,47 +266,50 @@
 	next.Epoch = r.GetEpoch() + 1
 	next.Version++
 	v.self = next
-	v.selfID = IDOf(next)
+	v.selfID = NewNodeID(next)
 }
 
-func (v *View) take(now time.Time, r *peerv1.NodeRecord) bool {
+// mergeRecord stores a peer's record and reports whether it was newer than the
+// stored one. The heartbeat continues only within the same incarnation.
+func (v *View) mergeRecord(now time.Time, r *peerv1.NodeRecord) bool {
 	old := v.nodes[r.GetVm()]
-	if old != nil && !newer(r, old.record) {
+	if old != nil && !isNewer(r, old.record) {
 		return false
 	}
-	n := &node{id: IDOf(r), record: r, heard: now}
+	n := &node{id: NewNodeID(r), record: r, updatedAt: now}
 	if old != nil && old.id == n.id {
 		n.heartbeat = old.heartbeat
 	}
-	v.drop(old)
+	v.remove(old)
 	v.nodes[r.GetVm()] = n
 	v.byID[n.id] = n
-	i, _ := v.place(r.GetVm())
+	i, _ := v.sortedIndex(r.GetVm())
 	v.sorted = slices.Insert(v.sorted, i, n)
 	return true
 }
 
-func (v *View) drop(n *node) {
+func (v *View) remove(n *node) {
 	if n == nil {
 		return
 	}
 	delete(v.nodes, n.record.GetVm())
 	delete(v.byID, n.id)
-	if i, found := v.place(n.record.GetVm()); found {
+	if i, found := v.sortedIndex(n.record.GetVm()); found {
 		v.sorted = slices.Delete(v.sorted, i, i+1)
 	}
 }
 
-// place finds where the node of a VM stands among the sorted ones, or belongs.
-func (v *View) place(vm string) (int, bool) {
+// sortedIndex returns the index of a VM's node in v.sorted, or the index at which to
+// insert it, and whether it was found.
+func (v *View) sortedIndex(vm string) (int, bool) {
 	return slices.BinarySearchFunc(v.sorted, vm, func(n *node, vm string) int { return cmp.Compare(n.record.GetVm(), vm) })
 }
 
-func newer(r, than *peerv1.NodeRecord) bool {
-	if r.GetEpoch() != than.GetEpoch() {
-		return r.GetEpoch() > than.GetEpoch()
+func isNewer(r, other *peerv1.NodeRecord) bool {
+	if r.GetEpoch() != other.GetEpoch() {
+		return r.GetEpoch() > other.GetEpoch()
 	}
-	return r.GetVersion() > than.GetVersion()
+	return r.GetVersion() > other.GetVersion()
 }
 
 func (v *View) status(now time.Time, n *node) Status {
@@ -304,9 +318,9 @@
 	}
 	factor := time.Duration(1)
 	if n.record.GetDataCenter() != v.cfg.DataCenter {
-		factor = time.Duration(v.cfg.RemoteFactor)
+		factor = time.Duration(v.cfg.RemoteTimeoutFactor)
 	}
-	age := now.Sub(n.heard)
+	age := now.Sub(n.updatedAt)
 	if age >= v.cfg.DeadAfter*factor {
 		return Dead
 	}
@@ -316,47 +330,46 @@
 	return Alive
 }
 
-// Missed tells that the owner heard nothing for a time because it was suspended itself,
-// which is no silence of the others: what was heard of them is not older than before.
-func (v *View) Missed(d time.Duration) {
+// ExcludeSuspension subtracts a suspension of the owner's VM from the age of all nodes: the
+// owner receives no updates in that time, so their absence is no sign of a peer's failure.
+func (v *View) ExcludeSuspension(suspension time.Duration) {
 	for _, n := range v.nodes {
-		n.heard = n.heard.Add(d)
+		n.updatedAt = n.updatedAt.Add(suspension)
 	}
 }
 
-// Forget drops nodes that have been dead or gone for ForgetAfter.
-func (v *View) Forget(now time.Time) {
+// Expire removes dead and left nodes without an update for ExpireAfter.
+func (v *View) Expire(now time.Time) {
 	for _, n := range slices.Clone(v.sorted) {
 		if s := v.status(now, n); s != Dead && s != Left {
 			continue
 		}
-		if now.Sub(n.heard) >= v.cfg.ForgetAfter {
-			v.drop(n)
+		if now.Sub(n.updatedAt) >= v.cfg.ExpireAfter {
+			v.remove(n)
 		}
 	}
 }
 
-// Members returns the view without its owner, in the order of the names. Every round
-// walks it: with 294 others 17 us, and 86 us when each call sorted them
-// (BenchmarkMembers).
+// Members returns the peers in the order of their VM names. Every round calls it; it takes
+// 17 us for 294 peers, and 86 us if each call sorts them (BenchmarkMembers).
 func (v *View) Members(now time.Time) []Member {
-	out := make([]Member, 0, len(v.sorted))
+	members := make([]Member, 0, len(v.sorted))
 	for _, n := range v.sorted {
-		out = append(out, v.member(now, n))
+		members = append(members, v.member(now, n))
 	}
-	return out
+	return members
 }
 
 func (v *View) member(now time.Time, n *node) Member {
 	return Member{
 		Contact: Contact{n.record.GetVm(), n.record.GetDataCenter(), n.record.GetPeerAddress()},
 		Status:  v.status(now, n),
-		Age:     now.Sub(n.heard),
+		Age:     now.Sub(n.updatedAt),
 		Record:  n.record,
 	}
 }
 
-// Find returns one member.
+// Find returns the member on a VM.
 func (v *View) Find(now time.Time, vm string) (Member, bool) {
 	n := v.nodes[vm]
 	if n == nil {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -13,22 +13,22 @@
 
 var start = time.Unix(1000, 0)
 
-func view(vm string, incarnation byte, epoch uint64) *membership.View {
+func newView(vm string, incarnation byte, epoch uint64) *membership.View {
 	return membership.New(membership.Config{VM: vm, DataCenter: "hall", PeerAddress: vm, Epoch: epoch, Incarnation: []byte{incarnation},
-		Chance: func() float64 { return 0.5 }})
+		Random: func() float64 { return 0.5 }})
 }
 
-// meet is one exchange.
-func meet(now time.Time, a, b *membership.View) {
+// exchange reconciles a with b, as in one gossip exchange that a starts.
+func exchange(now time.Time, a, b *membership.View) {
 	d := a.Digests(now, "")
-	b.Heard(now, d)
-	answer := b.Answer(now, d, "")
-	a.Merge(now, answer.Records)
-	a.Heard(now, answer.Digests)
-	b.Merge(now, a.Records(answer.Wanted))
+	b.MergeHeartbeats(now, d)
+	response := b.Respond(now, d, "")
+	a.Merge(now, response.Records)
+	a.MergeHeartbeats(now, response.Digests)
+	b.Merge(now, a.Records(response.Wanted))
 }
 
-func status(v *membership.View, now time.Time, vm string) string {
+func statusOf(v *membership.View, now time.Time, vm string) string {
 	m, ok := v.Find(now, vm)
 	if !ok {
 		return "unknown"
@@ -36,34 +36,34 @@
 	return m.Status.String()
 }
 
-func TestStatuses(t *testing.T) {
+func TestStatusTransitions(t *testing.T) {
 	g := NewWithT(t)
-	a, b := view("a", 1, 1), view("b", 2, 1)
+	a, b := newView("a", 1, 1), newView("b", 2, 1)
 	now := start
-	meet(now, a, b)
-	g.Expect(status(a, now, "b")).To(Equal("alive"))
+	exchange(now, a, b)
+	g.Expect(statusOf(a, now, "b")).To(Equal("alive"))
 	now = now.Add(membership.DefaultSuspectAfter)
-	g.Expect(status(a, now, "b")).To(Equal("suspect"))
-	b.Beat(nil)
-	meet(now, a, b)
-	g.Expect(status(a, now, "b")).To(Equal("alive"), "a heartbeat is enough")
+	g.Expect(statusOf(a, now, "b")).To(Equal("suspect"))
+	b.Heartbeat(nil)
+	exchange(now, a, b)
+	g.Expect(statusOf(a, now, "b")).To(Equal("alive"), "a higher heartbeat suffices, without a new record")
 	now = now.Add(membership.DefaultDeadAfter)
-	g.Expect(status(a, now, "b")).To(Equal("dead"))
-	c := view("c", 3, 1)
-	meet(now, c, a)
-	g.Expect(status(c, now, "b")).To(Equal("unknown"), "a dead node isn't passed on")
-	a.Forget(now.Add(membership.DefaultForgetAfter))
-	g.Expect(status(a, now, "b")).To(Equal("unknown"))
+	g.Expect(statusOf(a, now, "b")).To(Equal("dead"))
+	c := newView("c", 3, 1)
+	exchange(now, c, a)
+	g.Expect(statusOf(c, now, "b")).To(Equal("unknown"), "a dead node isn't gossiped")
+	a.Expire(now.Add(membership.DefaultExpireAfter))
+	g.Expect(statusOf(a, now, "b")).To(Equal("unknown"))
 }
 
-func TestRestartWithAClockSetBack(t *testing.T) {
+func TestRestartAfterClockSetBack(t *testing.T) {
 	g := NewWithT(t)
-	a, old := view("a", 1, 1), view("b", 2, 1000)
-	meet(start, a, old)
-	restarted := view("b", 3, 10)
+	a, old := newView("a", 1, 1), newView("b", 2, 1000)
+	exchange(start, a, old)
+	restarted := newView("b", 3, 10)
 	for range 3 {
-		restarted.Beat(nil)
-		meet(start, restarted, a)
+		restarted.Heartbeat(nil)
+		exchange(start, restarted, a)
 	}
 	m, _ := a.Find(start, "b")
 	g.Expect(m.Record.GetIncarnation()).To(Equal([]byte{3}))
@@ -71,30 +71,30 @@
 
 func TestUnchangedRecordsAreNotSent(t *testing.T) {
 	g := NewWithT(t)
-	a, b := view("a", 1, 1), view("b", 2, 1)
-	meet(start, a, b)
-	a.Beat(nil)
-	b.Beat(func(*peerv1.NodeRecord) {})
-	answer := b.Answer(start, a.Digests(start, ""), "")
-	g.Expect(answer.Records).To(BeEmpty())
-	g.Expect(answer.Wanted).To(BeEmpty())
-	g.Expect(answer.Digests.GetNodes()).To(HaveLen(1))
-	b.Beat(func(r *peerv1.NodeRecord) { r.Inherited = [][]byte{{9}} })
-	g.Expect(b.Answer(start, a.Digests(start, ""), "").Records).To(HaveLen(1))
+	a, b := newView("a", 1, 1), newView("b", 2, 1)
+	exchange(start, a, b)
+	a.Heartbeat(nil)
+	b.Heartbeat(func(*peerv1.NodeRecord) {})
+	response := b.Respond(start, a.Digests(start, ""), "")
+	g.Expect(response.Records).To(BeEmpty())
+	g.Expect(response.Wanted).To(BeEmpty())
+	g.Expect(response.Digests.GetNodes()).To(HaveLen(1))
+	b.Heartbeat(func(r *peerv1.NodeRecord) { r.Inherited = [][]byte{{9}} })
+	g.Expect(b.Respond(start, a.Digests(start, ""), "").Records).To(HaveLen(1))
 }
 
-func TestJobsAreSharedOut(t *testing.T) {
+func TestEachJobIsAssignedToCountEntries(t *testing.T) {
 	g := NewWithT(t)
 	const nodes, jobs, count = 9, 40, 3
 	views := make([]*membership.View, nodes)
 	for i := range views {
-		views[i] = view(fmt.Sprint("vm", i), byte(i), 1)
+		views[i] = newView(fmt.Sprint("vm", i), byte(i), 1)
 	}
 	for range 3 {
 		for _, a := range views {
 			for _, b := range views {
 				if a != b {
-					meet(start, a, b)
+					exchange(start, a, b)
 				}
 			}
 		}
@@ -110,13 +110,14 @@
 	}
 }
 
-// TestAnOwnSuspensionIsNoSilenceOfOthers: what was heard of them is not older than before.
-func TestAnOwnSuspensionIsNoSilenceOfOthers(t *testing.T) {
+// TestOwnSuspensionDoesNotAgePeers guards against suspecting every peer after the owner's VM was
+// suspended, as no heartbeat arrives in that time.
+func TestOwnSuspensionDoesNotAgePeers(t *testing.T) {
 	g := NewWithT(t)
-	a, b := view("a", 1, 1), view("b", 2, 1)
-	meet(start, a, b)
-	const missed = time.Hour
-	a.Missed(missed)
-	g.Expect(status(a, start.Add(missed), "b")).To(Equal("alive"))
-	g.Expect(status(a, start.Add(missed+membership.DefaultSuspectAfter), "b")).To(Equal("suspect"))
+	a, b := newView("a", 1, 1), newView("b", 2, 1)
+	exchange(start, a, b)
+	const suspension = time.Hour
+	a.ExcludeSuspension(suspension)
+	g.Expect(statusOf(a, start.Add(suspension), "b")).To(Equal("alive"))
+	g.Expect(statusOf(a, start.Add(suspension+membership.DefaultSuspectAfter), "b")).To(Equal("suspect"))
 }
--- a/pkg/membership/reconcile.go
+++ b/pkg/membership/reconcile.go
@@ -10,16 +10,18 @@
 	peerv1 "github.com/bridgehoist/bridgehoist/gen/bridgehoist/peer/v1"
 )
 
-// allShare is the share of exchanges within a data centre that are of all nodes.
-const allShare = 0.05
-
-// payloadSteps is how many changes of mere payload go by before the record is
-// also passed to other data centres. A version is a multiple of it plus the
-// payload changes since.
-const payloadSteps = 16
-
-// sameCore reports whether two records differ only in what matters within the
-// data centre: fills and usage.
+// fullScopeProbability is the probability that an exchange within the data centre covers all nodes.
+const fullScopeProbability = 0.05
+
+// payloadChangesPerStep is the number of payload changes after which a record is
+// sent to other data centres too. Payload is what only the own data centre needs;
+// see sameCore. A version is a multiple of payloadChangesPerStep plus the payload
+// changes since; a change of the core raises it to the next multiple.
+const payloadChangesPerStep = 16
+
+// sameCore reports whether two records of one node have the same core, which
+// other data centres need at once: state, inherited incarnations, leaves and
+// limits. The rest is payload: memory utilization and usage.
 func sameCore(a, b *peerv1.NodeRecord) bool {
 	return a.GetState() == b.GetState() &&
 		slices.EqualFunc(a.GetInherited(), b.GetInherited(), bytes.Equal) &&
@@ -27,86 +29,92 @@
 		slices.EqualFunc(a.GetLimits(), b.GetLimits(), func(x, y *peerv1.EndpointLimit) bool { return proto.Equal(x, y) })
 }
 
-// rankVersion gives the version of a record by which an exchange of this scope goes.
-// With nodes of other data centres, changes of mere payload count only now and
-// then.
-func (v *View) rankVersion(r *peerv1.NodeRecord, version uint64, scope Scope) uint64 {
-	if scope != "" || r.GetDataCenter() == v.cfg.DataCenter || v.small() {
+// scopedVersion returns the version by which an exchange of this scope compares
+// records of the node of r. For nodes of other data centres it rises with every
+// payloadChangesPerStep changes of the payload instead of each, except in small
+// fleets.
+func (v *View) scopedVersion(r *peerv1.NodeRecord, version uint64, scope Scope) uint64 {
+	if scope != "" || r.GetDataCenter() == v.cfg.DataCenter || v.isSmallFleet() {
 		return version
 	}
-	return version / payloadSteps
+	return version / payloadChangesPerStep
 }
 
-// Scope says which nodes an exchange is about: those of one data centre, or
-// all if it is empty.
+// Scope is the set of nodes that an exchange covers: those of the data centre that
+// it names, or all if it is empty.
 type Scope string
 
-func (s Scope) has(r *peerv1.NodeRecord) bool { return s == "" || r.GetDataCenter() == string(s) }
+func (s Scope) includes(r *peerv1.NodeRecord) bool { return s == "" || r.GetDataCenter() == string(s) }
 
-func (v *View) small() bool { return len(v.nodes) < v.cfg.SmallView }
+func (v *View) isSmallFleet() bool { return len(v.nodes) < v.cfg.SmallFleetSize }
 
-// ScopeWith chooses the scope of an exchange with a peer.
+// ScopeWith returns the scope for an exchange with a peer.
 func (v *View) ScopeWith(c Contact) Scope {
-	if c.DataCenter != v.cfg.DataCenter || v.small() || v.cfg.Chance() < allShare {
+	if c.DataCenter != v.cfg.DataCenter || v.isSmallFleet() || v.cfg.Random() < fullScopeProbability {
 		return ""
 	}
 	return Scope(v.cfg.DataCenter)
 }
 
-// Digests names all nodes of a scope that aren't dead, the owner first.
+// Digests returns the digests of the owner and, after it, of all nodes within the
+// scope that are not dead.
 func (v *View) Digests(now time.Time, scope Scope) *peerv1.Digests {
 	d := &peerv1.Digests{}
 	appendDigest(d, v.selfID, v.heartbeat, v.self.GetVersion())
 	for _, n := range v.nodes {
-		if scope.has(n.record) && v.status(now, n) != Dead {
+		if scope.includes(n.record) && v.status(now, n) != Dead {
 			appendDigest(d, n.id, n.heartbeat, n.record.GetVersion())
 		}
 	}
 	return d
 }
 
-func appendDigest(d *peerv1.Digests, id ID, heartbeat, version uint64) {
+func appendDigest(d *peerv1.Digests, id NodeID, heartbeat, version uint64) {
 	d.Nodes = append(d.Nodes, uint64(id))
 	d.Heartbeats = append(d.Heartbeats, heartbeat)
 	d.Versions = append(d.Versions, version)
 }
 
-// Answer is what a peer's digests are answered with.
-type Answer struct {
-	// Digests of the nodes whose heartbeat is newer here.
+// Response is the response to a peer's digests.
+type Response struct {
+	// Digests holds the digests of nodes whose heartbeat is higher locally.
 	Digests *peerv1.Digests
-	// Records that are newer here.
+	// Records holds the records that are newer locally.
 	Records []*peerv1.NodeRecord
-	// Wanted are nodes that are newer there.
+	// Wanted holds the IDs of nodes whose records are newer at the peer.
 	Wanted []uint64
 }
 
-type known struct{ heartbeat, version uint64 }
+// digestEntry holds the values for one node in a peer's digests.
+type digestEntry struct{ heartbeat, version uint64 }
 
-// Answer compares a peer's digests with what is known within the same scope.
-func (v *View) Answer(now time.Time, theirs *peerv1.Digests, scope Scope) Answer {
-	out := Answer{Digests: &peerv1.Digests{}}
-	if len(theirs.GetHeartbeats()) != len(theirs.GetNodes()) || len(theirs.GetVersions()) != len(theirs.GetNodes()) {
-		return out
+// Respond compares a peer's digests with the local nodes of the same scope. Digests
+// with lists of different lengths get an empty response.
+func (v *View) Respond(now time.Time, peerDigests *peerv1.Digests, scope Scope) Response {
+	response := Response{Digests: &peerv1.Digests{}}
+	if len(peerDigests.GetHeartbeats()) != len(peerDigests.GetNodes()) || len(peerDigests.GetVersions()) != len(peerDigests.GetNodes()) {
+		return response
 	}
-	byID := make(map[ID]known, len(theirs.GetNodes()))
-	for i, id := range theirs.GetNodes() {
-		k := known{theirs.GetHeartbeats()[i], theirs.GetVersions()[i]}
-		byID[ID(id)] = k
-		if v.wants(ID(id), k.version, scope) {
-			out.Wanted = append(out.Wanted, id)
+	byID := make(map[NodeID]digestEntry, len(peerDigests.GetNodes()))
+	for i, id := range peerDigests.GetNodes() {
+		entry := digestEntry{peerDigests.GetHeartbeats()[i], peerDigests.GetVersions()[i]}
+		byID[NodeID(id)] = entry
+		if v.wantsRecord(NodeID(id), entry.version, scope) {
+			response.Wanted = append(response.Wanted, id)
 		}
 	}
-	v.compare(&out, byID, v.selfID, v.heartbeat, v.self, scope)
+	v.appendNewer(&response, byID, v.selfID, v.heartbeat, v.self, scope)
 	for _, n := range v.nodes {
-		if scope.has(n.record) && v.status(now, n) != Dead {
-			v.compare(&out, byID, n.id, n.heartbeat, n.record, scope)
+		if scope.includes(n.record) && v.status(now, n) != Dead {
+			v.appendNewer(&response, byID, n.id, n.heartbeat, n.record, scope)
 		}
 	}
-	return out
+	return response
 }
 
-func (v *View) wants(id ID, version uint64, scope Scope) bool {
+// wantsRecord reports whether a peer's version of a node's record is newer than
+// the local one, or the node is unknown.
+func (v *View) wantsRecord(id NodeID, version uint64, scope Scope) bool {
 	if id == v.selfID {
 		return false
 	}
@@ -114,30 +122,33 @@
 	if n == nil {
 		return true
 	}
-	return v.rankVersion(n.record, version, scope) > v.rankVersion(n.record, n.record.GetVersion(), scope)
+	return v.scopedVersion(n.record, version, scope) > v.scopedVersion(n.record, n.record.GetVersion(), scope)
 }
 
-func (v *View) compare(out *Answer, theirs map[ID]known, id ID, heartbeat uint64, r *peerv1.NodeRecord, scope Scope) {
-	k, ok := theirs[id]
-	if !ok || heartbeat > k.heartbeat {
-		appendDigest(out.Digests, id, heartbeat, r.GetVersion())
+// appendNewer appends to response the digest of a node if its heartbeat is higher
+// locally than in the peer's digests, and its record if that is newer.
+func (v *View) appendNewer(response *Response, peerEntries map[NodeID]digestEntry, id NodeID, heartbeat uint64, r *peerv1.NodeRecord, scope Scope) {
+	entry, ok := peerEntries[id]
+	if !ok || heartbeat > entry.heartbeat {
+		appendDigest(response.Digests, id, heartbeat, r.GetVersion())
 	}
-	if !ok || v.rankVersion(r, r.GetVersion(), scope) > v.rankVersion(r, k.version, scope) {
-		out.Records = append(out.Records, r)
+	if !ok || v.scopedVersion(r, r.GetVersion(), scope) > v.scopedVersion(r, entry.version, scope) {
+		response.Records = append(response.Records, r)
 	}
 }
 
-// Records returns the records of the named nodes.
+// Records returns the records of the nodes with the given IDs; unknown IDs are
+// skipped.
 func (v *View) Records(ids []uint64) []*peerv1.NodeRecord {
-	var out []*peerv1.NodeRecord
+	var records []*peerv1.NodeRecord
 	for _, id := range ids {
-		if ID(id) == v.selfID {
-			out = append(out, v.self)
+		if NodeID(id) == v.selfID {
+			records = append(records, v.self)
 			continue
 		}
-		if n := v.byID[ID(id)]; n != nil {
-			out = append(out, n.record)
+		if n := v.byID[NodeID(id)]; n != nil {
+			records = append(records, n.record)
 		}
 	}
-	return out
+	return records
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -182,7 +182,7 @@
 mutant "suspensions: deadlines end late" $K 's/if left := Until(deadline); left > 0 {/if left := Until(deadline); left > 0 {\n\t\t\treturn/' ./internal/clock
 mutant "suspensions: waits go on" $K 's/timer.Reset(max(Until(end), 0))/_ = end/' ./internal/clock
 mutant "suspensions: short ones lost" $K 's/^\tstate.base = suspended$/\tstate.base = suspended + 1/;s/if gap < minGap {/if gap < minGap {\n\t\tstate.base = suspended/' ./internal/clock
-mutant "suspensions: peers blamed" pkg/membership/membership.go 's/n.heard = n.heard.Add(d)/n.heard = n.heard.Add(0)/' ./pkg/membership
+mutant "suspensions: peers blamed" pkg/membership/membership.go 's/n.updatedAt = n.updatedAt.Add(suspension)/n.updatedAt = n.updatedAt.Add(0)/' ./pkg/membership
 mutant "suspensions: table relied on" internal/gateway/suspended.go 's/if g.doubtful.Load() {/if false {/' "./internal/gateway -run Suspension"
 mutant "suspensions: requests' time not counted" internal/runner/runner.go 's/ctx, cancel := clock.WithDeadline(ctx, j.Deadline())/ctx, cancel := context.WithTimeout(ctx, clock.Until(j.Deadline()))/' "./internal/gateway -run Suspended"
 mutant "suspensions: a stop between two reads counts" internal/clock/kernel.go 's/if after-before <= maxApart {/if after-before >= 0 {/' ./internal/clock
