--- a/internal/experiment/scenario/parse.go
+++ b/internal/experiment/scenario/parse.go
@@ -128,7 +128,7 @@
 		Weight:       s.integer("weight", 1, maxCount),
 	}}
 	k.Row = table.Row{
-		Workspace:    table.Any,
+		Workspace:    table.AnyWorkspace,
 		Kind:         k.Name,
 		Target:       Target,
 		Weight:       k.Weight,
--- a/internal/filters/route/route.go
+++ b/internal/filters/route/route.go
@@ -46,12 +46,12 @@
 		return outcome.NotRunf(outcome.CodeBadRequest, "the request has no id")
 	}
 	path, _, _ := strings.Cut(j.Path, "?")
-	row, ok := held.Value.Match(hostname(j.Host), path)
+	row, ok := held.Value.MatchRoute(hostname(j.Host), path)
 	if !ok {
 		return outcome.NotRunf(outcome.CodeUnknownKind, "no route for %s%s", j.Host, path)
 	}
 	j.Kind = row.Kind
-	j.Row = row.Pick(rand.Float64())
+	j.Row = row.PickTarget(rand.Float64())
 	if err := resume(j); err != nil {
 		return err
 	}
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -122,7 +122,7 @@
 	use = slices.Clone(use)
 	if t := g.store.Table(); t != nil {
 		withTable(use, t.Value)
-		if f := g.unnamed.Findings(use, t.Value.Names); len(f) > 0 {
+		if f := g.unnamed.Findings(use, t.Value.HasTarget); len(f) > 0 {
 			g.log.Warn("endpoint records of unnamed services", "table", t.Revision, "findings", f.Error())
 		}
 	}
@@ -232,7 +232,7 @@
 			e.CapacityTokens = s.Engine.CapacityTokens
 			e.MaxRunning = s.Engine.Slots
 		}
-		e.ColdLimit = fleet.ColdLimit{Duration: s.ColdFor, RequestsPerSecond: s.ColdPerSecond}
+		e.ColdLimit = fleet.ColdLimit{Duration: s.ColdPeriod, RequestsPerSecond: s.ColdRequestsPerSecond}
 	}
 }
 
--- a/pkg/table/route_test.go
+++ b/pkg/table/route_test.go
@@ -9,57 +9,57 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
-func row(kind, host, prefix string) table.Row {
+func newRow(kind, host, prefix string) table.Row {
 	return table.Row{
-		Workspace: table.Any, Kind: kind, Target: "t", Timeout: time.Second,
+		Workspace: table.AnyWorkspace, Kind: kind, Target: "t", Timeout: time.Second,
 		Route: table.Route{Host: host, PathPrefix: prefix},
 	}
 }
 
-func TestLongestPrefixTakesTheRequest(t *testing.T) {
+func TestMatchRoutePrefersLongestPrefix(t *testing.T) {
 	g := NewWithT(t)
 	tb, err := table.New("t", []table.Row{
-		row("short", "a.example", "/x/"), row("long", "a.example", "/x/y/"), row("other", "b.example", "/x/"),
+		newRow("short", "a.example", "/x/"), newRow("long", "a.example", "/x/y/"), newRow("other", "b.example", "/x/"),
 	}, table.Options{})
 	g.Expect(err).NotTo(HaveOccurred())
 	for path, want := range map[string]string{"/x/1": "short", "/x/y/1": "long", "/x/yy": "short", "/x/": "short"} {
-		r, ok := tb.Match("A.example", path)
+		r, ok := tb.MatchRoute("A.example", path)
 		g.Expect(ok).To(BeTrue(), path)
 		g.Expect(r.Kind).To(Equal(want), path)
 	}
 	for _, path := range []string{"/x", "/", "/y/x/"} {
-		_, ok := tb.Match("a.example", path)
+		_, ok := tb.MatchRoute("a.example", path)
 		g.Expect(ok).To(BeFalse(), path)
 	}
-	_, ok := tb.Match("c.example", "/x/1")
+	_, ok := tb.MatchRoute("c.example", "/x/1")
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestNamesOfTargets(t *testing.T) {
+func TestHasTarget(t *testing.T) {
 	g := NewWithT(t)
-	shared := row("shared", "a.example", "/y/")
+	shared := newRow("shared", "a.example", "/y/")
 	shared.Shares = []table.Share{{Target: "u", Weight: 1}}
-	tb, err := table.New("t", []table.Row{row("r", "a.example", "/x/"), shared}, table.Options{Services: []table.Service{{Target: "s"}}})
+	tb, err := table.New("t", []table.Row{newRow("r", "a.example", "/x/"), shared}, table.Options{Services: []table.Service{{Target: "s"}}})
 	g.Expect(err).NotTo(HaveOccurred())
-	for target, named := range map[string]bool{"t": true, "u": true, "s": true, "v": false, "": false} {
-		g.Expect(tb.Names(target)).To(Equal(named), target)
+	for target, want := range map[string]bool{"t": true, "u": true, "s": true, "v": false, "": false} {
+		g.Expect(tb.HasTarget(target)).To(Equal(want), target)
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickTargetFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	r := table.Row{Target: "a", Shares: []table.Share{{Target: "a", Weight: 90}, {Target: "b", Weight: 10}}}
-	g.Expect(r.Pick(0).Target).To(Equal("a"))
-	g.Expect(r.Pick(0.89).Target).To(Equal("a"))
-	g.Expect(r.Pick(0.91).Target).To(Equal("b"))
-	g.Expect(table.Row{Target: "c"}.Pick(0.5).Target).To(Equal("c"))
+	g.Expect(r.PickTarget(0).Target).To(Equal("a"))
+	g.Expect(r.PickTarget(0.89).Target).To(Equal("a"))
+	g.Expect(r.PickTarget(0.91).Target).To(Equal("b"))
+	g.Expect(table.Row{Target: "c"}.PickTarget(0.5).Target).To(Equal("c"))
 	r.Shares = []table.Share{{Target: "b", Weight: 0}}
-	g.Expect(r.Pick(0.5).Target).To(Equal("a"), "weights that sum to nothing leave the target")
+	g.Expect(r.PickTarget(0.5).Target).To(Equal("a"), "weights that sum to zero keep the target")
 }
 
-func TestKeysFindTheirWorkspace(t *testing.T) {
+func TestWorkspaceByKey(t *testing.T) {
 	g := NewWithT(t)
-	tb, err := table.New("t", []table.Row{row("k", "h", "/")}, table.Options{
+	tb, err := table.New("t", []table.Row{newRow("k", "h", "/")}, table.Options{
 		Workspaces: []table.Workspace{{Name: "w", Keys: []string{"one", "two"}}, {Name: "v", Keys: []string{"three"}}},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -74,10 +74,10 @@
 
 func TestNewCollectsFindings(t *testing.T) {
 	g := NewWithT(t)
-	bad := row("k", "h", "x")
+	bad := newRow("k", "h", "x")
 	bad.Timeout = 0
 	bad.Target = ""
-	_, err := table.New("t", []table.Row{bad, row("k", "h", "/")}, table.Options{
+	_, err := table.New("t", []table.Row{bad, newRow("k", "h", "/")}, table.Options{
 		Workspaces: []table.Workspace{{Name: "w", Keys: []string{"same"}}, {Name: "v", Keys: []string{"same"}}, {}},
 		Services:   []table.Service{{}},
 	})
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,9 +1,10 @@
-// Package table reads the operators' table: one row per kind of request.
+// Package table parses and validates the operators' table, which has one row per
+// kind of request.
 //
-// The table is one CSV value with a header, at most MaxBytes. It is checked
-// whole: Parse returns every finding with its place, and a table with findings
-// is not used. Rows are matched by workspace and kind, an exact workspace
-// before Any. (Brief, "The product".)
+// The table is a CSV value with a header, of at most MaxBytes. Parse reports all
+// findings with their lines and columns, and rejects a table that has any. Tables
+// in another format are built with New. Rows are matched by workspace and kind; an
+// exact workspace takes precedence over AnyWorkspace.
 package table
 
 import (
@@ -19,13 +20,13 @@
 	"unicode/utf8"
 )
 
-// MaxBytes is the largest value that the platform holds.
+// MaxBytes is the size of the largest value that the platform stores.
 const MaxBytes = 1 << 20
 
-// Any in the workspace column matches every workspace.
-const Any = "*"
+// AnyWorkspace in the workspace column matches every workspace.
+const AnyWorkspace = "*"
 
-// Bounds of the columns.
+// Limits of the columns' values.
 const (
 	MaxPriority = 9
 	maxWeight   = 1_000_000
@@ -33,62 +34,62 @@
 	maxTimeout  = 24 * time.Hour
 )
 
-// Columns in the order in which they are documented.
+// Columns lists the columns of the CSV table in the order of the documentation.
 var Columns = []string{
 	"workspace", "kind", "target", "weight", "priority",
 	"max_in_flight", "max_queued", "max_queue_time", "timeout", "idempotent",
 }
 
-// Row is one kind of request.
+// Row holds the settings of one kind of request.
 type Row struct {
 	Workspace string
 	Kind      string
-	// Target is the model, or the plain service, that answers the kind.
+	// Target is the model or plain service that answers requests of the kind.
 	Target string
-	// Weight is the worth of one answered request.
+	// Weight is the value of one answered request.
 	Weight int
-	// Priority orders kinds at the queue and at the engine; higher is sooner.
+	// Priority orders kinds in the queue and at the engine; higher goes first.
 	Priority int
-	// MaxInFlight bounds the requests running at once, over all entries.
+	// MaxInFlight limits the requests running at once, over all entries.
 	MaxInFlight int
-	// MaxQueued bounds the requests waiting at once, over all entries.
+	// MaxQueued limits the requests queued at once, over all entries.
 	MaxQueued int
-	// MaxQueueTime bounds the wait for admission.
+	// MaxQueueTime limits the wait for admission.
 	MaxQueueTime time.Duration
-	// Timeout bounds the whole request from its arrival.
+	// Timeout limits the whole duration of a request, from its arrival.
 	Timeout time.Duration
-	// Idempotent says that the request may be repeated.
+	// Idempotent is set if requests may be repeated.
 	Idempotent bool
-	// Line is the row's place in the file.
+	// Line is the row's line in the file.
 	Line int
 
-	// Route, Shares and what follows are not columns of the file; they are set in
-	// tables made by New.
+	// The fields below are not columns of the CSV table; only tables made by New have
+	// them.
 
-	// Route says which requests the row takes.
+	// Route selects the requests that the row applies to.
 	Route Route
-	// Shares split the row's requests over several targets; see Pick.
+	// Shares split the row's requests among several targets; see PickTarget.
 	Shares []Share
-	// MaxAttempts bounds the endpoints that one request is sent to; zero leaves
-	// it to package retry.
+	// MaxAttempts limits the number of endpoints that a request is sent to; zero
+	// selects the default of package retry.
 	MaxAttempts int
-	// Objective is the time to the answer, or to its first event, within which
-	// it is in time; zero is none.
+	// Objective is the latency objective, to the answer or to its first event; zero
+	// for none.
 	Objective time.Duration
-	// Regions, if there are any, are the only ones whose endpoints may get the row's requests.
+	// Regions restricts the row's requests to endpoints of these regions; empty allows all.
 	Regions []string
-	// MaxGap is the longest time between events of an answer in time.
+	// MaxGap is the objective for the time between two events of an answer.
 	MaxGap time.Duration
-	// Streaming says that the answer is a stream of events.
+	// Streaming is set if answers are streams of events.
 	Streaming bool
-	// Resumable says that a stream may go on after an event that its caller has, in
-	// another run; such a request is idempotent.
+	// Resumable is set if another run can resume a stream after the last event that the
+	// caller has received; such requests are idempotent.
 	Resumable bool
-	// Anonymous says that requests need no API key.
+	// Anonymous is set if requests need no API key.
 	Anonymous bool
 }
 
-// Finding is one thing wrong with a table.
+// Finding is one error in a table. Column is empty if it concerns a whole line.
 type Finding struct {
 	File   string
 	Line   int
@@ -96,7 +97,7 @@
 	Text   string
 }
 
-// String gives the finding in the form file:line: column: text.
+// String formats the finding as file:line: column: text.
 func (f Finding) String() string {
 	if f.Column == "" {
 		return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text)
@@ -104,10 +105,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Column, f.Text)
 }
 
-// Findings is everything wrong with a table; it is an error if not empty.
+// Findings is the list of all errors in a table. It implements error.
 type Findings []Finding
 
-// Error joins the findings, one a line.
+// Error returns the findings, one per line.
 func (fs Findings) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
@@ -116,39 +117,40 @@
 	return strings.Join(lines, "\n")
 }
 
-// Key identifies a row.
-type Key struct{ Workspace, Kind string }
+// RowKey identifies a row.
+type RowKey struct{ Workspace, Kind string }
 
-// Table is a checked table; it does not change.
+// Table is a validated, immutable table.
 type Table struct {
-	rows  []Row
-	byKey map[Key]int
+	rows     []Row
+	rowByKey map[RowKey]int
 
 	// Set by New only.
-	byHost     map[string][]int
-	byAPIKey   map[keyDigest]string
-	workspaces map[string]Workspace
-	services   map[string]Service
+	rowsByHost     map[string][]int
+	workspaceByKey map[apiKeyDigest]string
+	workspaces     map[string]Workspace
+	services       map[string]Service
 }
 
-// Rows returns the rows in the order of the file.
+// Rows returns a copy of the rows in the order of the file.
 func (t *Table) Rows() []Row { return slices.Clone(t.rows) }
 
-// Lookup finds the row for a request.
+// Lookup returns the row for a workspace and kind. A row of the exact workspace takes
+// precedence over one of AnyWorkspace.
 func (t *Table) Lookup(workspace, kind string) (Row, bool) {
-	if i, ok := t.byKey[Key{workspace, kind}]; ok {
+	if i, ok := t.rowByKey[RowKey{workspace, kind}]; ok {
 		return t.rows[i], true
 	}
-	i, ok := t.byKey[Key{Any, kind}]
+	i, ok := t.rowByKey[RowKey{AnyWorkspace, kind}]
 	if !ok {
 		return Row{}, false
 	}
 	return t.rows[i], true
 }
 
-// Parse reads and checks a table. The error, if any, is of type Findings.
+// Parse parses and validates a CSV table. The error, if any, is of type Findings.
 func Parse(file string, data []byte) (*Table, error) {
-	p := parser{file: file, table: &Table{byKey: map[Key]int{}}}
+	p := parser{file: file, table: &Table{rowByKey: map[RowKey]int{}}}
 	p.parse(data)
 	if len(p.findings) > 0 {
 		return nil, p.findings
@@ -157,23 +159,23 @@
 }
 
 type parser struct {
-	file     string
-	findings Findings
-	table    *Table
-	index    map[string]int
+	file        string
+	findings    Findings
+	table       *Table
+	columnIndex map[string]int
 }
 
-func (p *parser) add(line int, column, format string, args ...any) {
+func (p *parser) addFinding(line int, column, format string, args ...any) {
 	p.findings = append(p.findings, Finding{p.file, line, column, fmt.Sprintf(format, args...)})
 }
 
 func (p *parser) parse(data []byte) {
 	if len(data) > MaxBytes {
-		p.add(1, "", "%d bytes, at most %d", len(data), MaxBytes)
+		p.addFinding(1, "", "%d bytes, at most %d", len(data), MaxBytes)
 		return
 	}
 	if !utf8.Valid(data) {
-		p.add(1, "", "not UTF-8")
+		p.addFinding(1, "", "not UTF-8")
 		return
 	}
 	r := csv.NewReader(bytes.NewReader(data))
@@ -181,7 +183,7 @@
 	r.Comment = '#'
 	header, err := r.Read()
 	if err != nil {
-		p.add(1, "", "no header")
+		p.addFinding(1, "", "no header")
 		return
 	}
 	if !p.readHeader(header) {
@@ -189,25 +191,25 @@
 	}
 	p.readRows(r, len(header))
 	if len(p.table.rows) == 0 && len(p.findings) == 0 {
-		p.add(1, "", "no rows")
+		p.addFinding(1, "", "no rows")
 	}
 }
 
 func (p *parser) readHeader(header []string) bool {
-	p.index = map[string]int{}
+	p.columnIndex = map[string]int{}
 	for i, name := range header {
 		name = strings.TrimSpace(name)
 		if !slices.Contains(Columns, name) {
-			p.add(1, name, "unknown column")
+			p.addFinding(1, name, "unknown column")
 		}
-		if _, twice := p.index[name]; twice {
-			p.add(1, name, "column given twice")
+		if _, duplicate := p.columnIndex[name]; duplicate {
+			p.addFinding(1, name, "column given twice")
 		}
-		p.index[name] = i
+		p.columnIndex[name] = i
 	}
 	for _, name := range Columns {
-		if _, ok := p.index[name]; !ok {
-			p.add(1, name, "column missing")
+		if _, ok := p.columnIndex[name]; !ok {
+			p.addFinding(1, name, "column missing")
 		}
 	}
 	return len(p.findings) == 0
@@ -219,14 +221,14 @@
 		if errors.Is(err, io.EOF) {
 			return
 		}
-		var syntax *csv.ParseError
-		if errors.As(err, &syntax) {
-			p.add(syntax.Line, "", "%v", syntax.Err)
+		var parseErr *csv.ParseError
+		if errors.As(err, &parseErr) {
+			p.addFinding(parseErr.Line, "", "%v", parseErr.Err)
 			return
 		}
 		line, _ := r.FieldPos(0)
 		if len(record) != width {
-			p.add(line, "", "%d fields, want %d", len(record), width)
+			p.addFinding(line, "", "%d fields, want %d", len(record), width)
 			continue
 		}
 		p.readRow(line, record)
@@ -234,7 +236,7 @@
 }
 
 func (p *parser) readRow(line int, record []string) {
-	f := fields{p: p, line: line, record: record}
+	f := fieldReader{parser: p, line: line, record: record}
 	row := Row{
 		Line:         line,
 		Workspace:    f.text("workspace"),
@@ -249,70 +251,72 @@
 		Idempotent:   f.yesNo("idempotent"),
 	}
 	if row.Timeout > 0 && row.MaxQueueTime > row.Timeout {
-		p.add(line, "max_queue_time", "%v is longer than the timeout %v", row.MaxQueueTime, row.Timeout)
+		p.addFinding(line, "max_queue_time", "%v is longer than the timeout %v", row.MaxQueueTime, row.Timeout)
 	}
-	key := Key{row.Workspace, row.Kind}
-	if first, twice := p.table.byKey[key]; twice {
-		p.add(line, "kind", "same workspace and kind as line %d", p.table.rows[first].Line)
+	key := RowKey{row.Workspace, row.Kind}
+	if first, duplicate := p.table.rowByKey[key]; duplicate {
+		p.addFinding(line, "kind", "same workspace and kind as line %d", p.table.rows[first].Line)
 		return
 	}
-	p.table.byKey[key] = len(p.table.rows)
+	p.table.rowByKey[key] = len(p.table.rows)
 	p.table.rows = append(p.table.rows, row)
 }
 
-type fields struct {
-	p      *parser
+// fieldReader parses the fields of one CSV record and adds a finding for each invalid
+// value.
+type fieldReader struct {
+	parser *parser
 	line   int
 	record []string
 }
 
-func (f fields) raw(column string) string {
-	return strings.TrimSpace(f.record[f.p.index[column]])
+func (f fieldReader) value(column string) string {
+	return strings.TrimSpace(f.record[f.parser.columnIndex[column]])
 }
 
-func (f fields) text(column string) string {
-	v := f.raw(column)
+func (f fieldReader) text(column string) string {
+	v := f.value(column)
 	if v == "" {
-		f.p.add(f.line, column, "empty")
+		f.parser.addFinding(f.line, column, "empty")
 	}
 	if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' }) {
-		f.p.add(f.line, column, "control character")
+		f.parser.addFinding(f.line, column, "control character")
 	}
 	return v
 }
 
-func (f fields) integer(column string, low, high int) int {
-	v, err := strconv.Atoi(f.raw(column))
+func (f fieldReader) integer(column string, low, high int) int {
+	v, err := strconv.Atoi(f.value(column))
 	if err != nil {
-		f.p.add(f.line, column, "%q is not a whole number", f.raw(column))
+		f.parser.addFinding(f.line, column, "%q is not a whole number", f.value(column))
 		return low
 	}
 	if v < low || v > high {
-		f.p.add(f.line, column, "%d is not within %d to %d", v, low, high)
+		f.parser.addFinding(f.line, column, "%d is not within %d to %d", v, low, high)
 	}
 	return v
 }
 
-func (f fields) duration(column string) time.Duration {
-	v, err := time.ParseDuration(f.raw(column))
+func (f fieldReader) duration(column string) time.Duration {
+	v, err := time.ParseDuration(f.value(column))
 	if err != nil {
-		f.p.add(f.line, column, "%q is not a duration such as 800ms or 2m", f.raw(column))
+		f.parser.addFinding(f.line, column, "%q is not a duration such as 800ms or 2m", f.value(column))
 		return 0
 	}
 	if v <= 0 || v > maxTimeout {
-		f.p.add(f.line, column, "%v is not within 0 (excluded) to %v", v, maxTimeout)
+		f.parser.addFinding(f.line, column, "%v is not within 0 (excluded) to %v", v, maxTimeout)
 	}
 	return v
 }
 
-func (f fields) yesNo(column string) bool {
-	switch v := f.raw(column); v {
+func (f fieldReader) yesNo(column string) bool {
+	switch v := f.value(column); v {
 	case "yes":
 		return true
 	case "no":
 		return false
 	default:
-		f.p.add(f.line, column, "%q is neither yes nor no", v)
+		f.parser.addFinding(f.line, column, "%q is neither yes nor no", v)
 		return false
 	}
 }
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -21,7 +21,7 @@
 var header = strings.Join(table.Columns, ",") + "\n"
 
 var _ = Describe("a table", func() {
-	It("is read from the examples", func() {
+	It("is parsed from the examples", func() {
 		files, err := filepath.Glob("../../examples/*.csv")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).To(HaveLen(2))
@@ -33,7 +33,7 @@
 		}
 	})
 
-	It("prefers the row of the workspace", func() {
+	It("prefers the row of the exact workspace", func() {
 		t, err := table.Parse("t", []byte(header+"*,k,m,1,1,1,1,1s,2s,yes\nw,k,m,2,1,1,1,1s,2s,no\n"))
 		Expect(err).NotTo(HaveOccurred())
 		row, _ := t.Lookup("w", "k")
@@ -44,7 +44,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("reports every finding with its place", func() {
+	It("reports every finding with its line and column", func() {
 		_, err := table.Parse("t", []byte(header+"*,k,,0,10,x,-1,5s,1s,maybe\n*,k,m,1,1,1,1,1s,2s,yes\nshort\n"))
 		Expect(strings.Split(err.Error(), "\n")).To(ConsistOf(
 			"t:2: target: empty",
@@ -59,16 +59,16 @@
 		))
 	})
 
-	DescribeTable("refuses whole", func(text, finding string) {
+	DescribeTable("is rejected as a whole", func(text, finding string) {
 		_, err := table.Parse("t", []byte(text))
 		Expect(err).To(MatchError(ContainSubstring(finding)))
 	},
-		Entry("nothing", "", "no header"),
-		Entry("a header alone", header, "no rows"),
+		Entry("an empty file", "", "no header"),
+		Entry("a header without rows", header, "no rows"),
 		Entry("missing columns", "workspace,kind\n", "weight: column missing"),
 		Entry("unknown columns", header[:len(header)-1]+",extra\n", "extra: unknown column"),
-		Entry("bad UTF-8", "\xff", "not UTF-8"),
-		Entry("bad quotes", header+"\"a,b\n", "t:2"),
+		Entry("invalid UTF-8", "\xff", "not UTF-8"),
+		Entry("invalid quoting", header+"\"a,b\n", "t:2"),
 		Entry("too large", strings.Repeat("x", table.MaxBytes+1), "at most 1048576"),
 	)
 })
