--- a/internal/controllers/value_watcher_test.go
+++ b/internal/controllers/value_watcher_test.go
@@ -174,7 +174,7 @@
 	}
 	state := peering.NewClusterState(newView(vm), dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
 	peer := newView(peerVM)
-	peer.Beat(func(r *peerv1.NodeRecord) { r.State = peerv1.NodeState_NODE_STATE_LIVE })
+	peer.Heartbeat(func(r *peerv1.NodeRecord) { r.State = peerv1.NodeState_NODE_STATE_LIVE })
 	state.Merge(time.Now(), []*peerv1.NodeRecord{peer.Self()})
 	return state
 }
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -99,7 +99,7 @@
 // number of peers that answered and the number that were called.
 func (c *Client) Round(ctx context.Context) (answered, attempted int) {
 	var peers []membership.Contact
-	c.cfg.State.WithView(func(v *membership.View) { peers = v.Round(clock.Now()) })
+	c.cfg.State.WithView(func(v *membership.View) { peers = v.SelectPeers(clock.Now()) })
 	return c.Reconcile(ctx, peers), len(peers)
 }
 
@@ -146,7 +146,7 @@
 	offerDocuments(now, c.cfg.Store, resp.GetDocuments(), p.VM)
 	c.cfg.State.Merge(now, resp.GetRecords())
 	c.cfg.State.guard.Add(decodeFacts(now, resp.GetRequestFacts())...)
-	c.cfg.State.WithView(func(v *membership.View) { v.Heard(now, resp.GetDigests()) })
+	c.cfg.State.WithView(func(v *membership.View) { v.MergeHeartbeats(now, resp.GetDigests()) })
 	pushReq := c.newPushRequest(resp)
 	if pushReq == nil {
 		return nil
--- a/internal/peering/cluster_state.go
+++ b/internal/peering/cluster_state.go
@@ -139,7 +139,7 @@
 			cs.dropReport(id)
 		}
 	}
-	cs.view.Seed(contacts(list))
+	cs.view.SetSeeds(contacts(list))
 	cs.dispatcher.Update(func(now time.Time, p scheduler.Policy) {
 		p.SetEndpoints(now, list.Endpoints)
 		// Must precede the next dispatch: the leave of an instance may be received before the
@@ -230,7 +230,7 @@
 	if payloadDue {
 		cs.payloadUpdatedAt = now
 	}
-	cs.view.Beat(func(r *peerv1.NodeRecord) {
+	cs.view.Heartbeat(func(r *peerv1.NodeRecord) {
 		r.State = cs.state
 		r.StoreLost = cs.storeLost
 		r.Inherited = inherited
@@ -240,7 +240,7 @@
 			cs.setPayload(now, r)
 		}
 	})
-	cs.view.Forget(now)
+	cs.view.Expire(now)
 	cs.applyMembership(now)
 	cs.refreshHomes(now)
 }
--- a/internal/peering/gossip_sim_test.go
+++ b/internal/peering/gossip_sim_test.go
@@ -50,7 +50,7 @@
 	}
 	for i, r := range records {
 		e := &gossipSimEntry{vm: r.GetVm(), set: quarantine.New(), nextRound: s.now.Add(time.Duration(random.Int64N(int64(roundInterval))))}
-		e.view = membership.New(membership.Config{VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: smallView, Chance: random.Float64})
+		e.view = membership.New(membership.Config{VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallFleetSize: smallView, Random: random.Float64})
 		e.view.Merge(s.now, records)
 		e.set.SetRank(i, size)
 		s.entries = append(s.entries, e)
@@ -85,7 +85,7 @@
 			e.nextRound = s.now.Add(roundInterval)
 		}
 		e.triggered, e.earliestTrigger = false, s.now.Add(minTriggerInterval)
-		for _, c := range e.view.Round(s.now) {
+		for _, c := range e.view.SelectPeers(s.now) {
 			s.exchanges++
 			peer := s.entryByVM[c.VM]
 			missing, wanted := peer.set.Compare(e.set.Keys())
--- a/internal/peering/homes.go
+++ b/internal/peering/homes.go
@@ -143,7 +143,7 @@
 		if e.Type != fleet.Engine || e.DataCenter == self.GetDataCenter() || !slices.Contains(e.Targets, target) {
 			continue
 		}
-		r := ranked{membership.RankOfHashes(xxhash.Sum64String(e.ID), selfHash), i}
+		r := ranked{membership.RendezvousScoreOfHashes(xxhash.Sum64String(e.ID), selfHash), i}
 		pos, _ := slices.BinarySearchFunc(best, r, func(x, y ranked) int { return cmp.Compare(x.rank, y.rank) })
 		if pos < maxSpilloverPolls {
 			best = slices.Insert(best, pos, r)
@@ -220,7 +220,7 @@
 func (cs *ClusterState) HigherRankedWatchers(now time.Time, job string, maxAge time.Duration) (all, active int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.view.Above(now, job, func(m membership.Member) bool {
+	return cs.view.HigherRanked(now, job, func(m membership.Member) bool {
 		return m.Age < maxAge && !m.Record.GetStoreLost()
 	})
 }
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -94,7 +94,7 @@
 	total := 0.0
 	for i, r := range records {
 		view := membership.New(membership.Config{
-			VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: 24, Chance: random.Float64,
+			VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallFleetSize: 24, Random: random.Float64,
 		})
 		view.Merge(f.now, records)
 		cfg := scheduler.Version(scheduler.ForwardingVersion)
@@ -119,17 +119,17 @@
 // exchange has an entry reconcile with the peers that its membership view picks.
 func (s *limitSim) exchange(e *limitSimEntry) {
 	e.state.Heartbeat(s.now, nil)
-	for _, c := range e.state.view.Round(s.now) {
+	for _, c := range e.state.view.SelectPeers(s.now) {
 		peer := s.entryByVM[c.VM]
 		if peer.stopped {
 			continue
 		}
 		scope := e.state.view.ScopeWith(c)
 		digests := e.state.view.Digests(s.now, scope)
-		peer.state.view.Heard(s.now, digests)
-		a := peer.state.view.Answer(s.now, digests, scope)
+		peer.state.view.MergeHeartbeats(s.now, digests)
+		a := peer.state.view.Respond(s.now, digests, scope)
 		e.state.Merge(s.now, a.Records)
-		e.state.view.Heard(s.now, a.Digests)
+		e.state.view.MergeHeartbeats(s.now, a.Digests)
 		peer.state.Merge(s.now, e.state.view.Records(a.Wanted))
 	}
 }
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -85,7 +85,7 @@
 		return s, nil
 	}
 	c.cfg.State.WithView(func(v *membership.View) {
-		address, err = claims.Route(t, Directory{v, clock.Now()}, c.isAllowedAddress)
+		address, err = claims.ResolveOwner(t, Directory{v, clock.Now()}, c.isAllowedAddress)
 	})
 	return address, err
 }
@@ -97,7 +97,7 @@
 }
 
 // Holder implements claims.Directory.
-func (d Directory) Holder(i claims.Incarnation) (string, bool) {
+func (d Directory) InheritorAddress(i claims.Incarnation) (string, bool) {
 	m, ok := d.View.Inheritor(d.Now, i[:])
 	return m.Address, ok
 }
@@ -167,7 +167,7 @@
 		relay.connected = true
 		msg := stream.Msg()
 		if final := msg.GetFinal(); final != nil {
-			return true, claims.ErrorOf(final)
+			return true, claims.DecodeFinal(final)
 		}
 		if !relay.forward(msg) {
 			return false, nil
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -105,8 +105,8 @@
 		scope = ""
 	}
 	s.state.WithView(func(v *membership.View) {
-		v.Heard(now, msg.GetDigests())
-		a := v.Answer(now, msg.GetDigests(), scope)
+		v.MergeHeartbeats(now, msg.GetDigests())
+		a := v.Respond(now, msg.GetDigests(), scope)
 		resp.Digests, resp.Records, resp.WantedNodes = a.Digests, a.Records, a.Wanted
 	})
 	missing, wanted := s.state.guard.Compare(decodeKeys(msg.GetRequestFactKeys()))
@@ -141,7 +141,7 @@
 	stop := sink.startHeartbeats(ctx)
 	final := s.run(ctx, req.Msg, sink)
 	stop()
-	return sink.send(&peerv1.RunResponse{Part: &peerv1.RunResponse_Final{Final: claims.FinalOf(final)}})
+	return sink.send(&peerv1.RunResponse{Part: &peerv1.RunResponse_Final{Final: claims.EncodeFinal(final)}})
 }
 
 func (s *Server) run(ctx context.Context, msg *peerv1.RunRequest, sink job.Sink) *outcome.Error {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -45,7 +45,7 @@
 mutant "at most once: records not kept" pkg/claims/claims.go 's/if r := l.records\[key\]; r != nil {/if r := l.records[key]; false {/' "$P ./pkg/claims"
 mutant "at most once: refusals not burnt" pkg/claims/claims.go 's/^\tr.phase = finished$/\tr.phase = finished\n\tif err != nil \&\& err.Outcome == outcome.NotRun {\n\t\tdelete(l.records, key)\n\t}/' "$P"
 mutant "at most once: old owner not frozen" pkg/claims/handover.go 's/func (l \*Ledger) Freeze() { l.frozen = true }/func (l *Ledger) Freeze() {}/' "$P ./pkg/claims"
-mutant "at most once: handover adopted again" pkg/claims/handover.go 's/if l.adopted\[i\] {/if l.Holds(i) {/' ./pkg/claims
+mutant "at most once: handover adopted again" pkg/claims/handover.go 's/if l.adopted\[incarnation\] {/if l.HasAuthority(incarnation) {/' ./pkg/claims
 mutant "at most once: handover taken by any process" pkg/claims/handover.go 's/if !bytes.Equal(msg.GetToIncarnation(), l.cfg.Incarnation\[:\]) {/if bytes.Equal(msg.GetToIncarnation(), nil) {/' "$P ./pkg/claims"
 mutant "at most once: expired tickets run" pkg/claims/claims.go 's/if auth.age(now, t.MintedMS) > l.cfg.Validity {/if false {/' "$P ./pkg/claims"
 mutant "at most once: signature not checked" pkg/claims/claims.go 's/if !hmac.Equal(t.mac, /if hmac.Equal(nil, /' ./pkg/claims
@@ -182,7 +182,7 @@
 mutant "suspensions: deadlines end late" $K 's/if left := Until(deadline); left > 0 {/if left := Until(deadline); left > 0 {\n\t\t\treturn/' ./internal/clock
 mutant "suspensions: waits go on" $K 's/timer.Reset(max(Until(end), 0))/_ = end/' ./internal/clock
 mutant "suspensions: short ones lost" $K 's/^\tstate.base = suspended$/\tstate.base = suspended + 1/;s/if gap < minGap {/if gap < minGap {\n\t\tstate.base = suspended/' ./internal/clock
-mutant "suspensions: peers blamed" pkg/membership/membership.go 's/n.heard = n.heard.Add(d)/n.heard = n.heard.Add(0)/' ./pkg/membership
+mutant "suspensions: peers blamed" pkg/membership/membership.go 's/n.updatedAt = n.updatedAt.Add(suspension)/n.updatedAt = n.updatedAt.Add(0)/' ./pkg/membership
 mutant "suspensions: table relied on" internal/gateway/suspended.go 's/if g.doubtful.Load() {/if false {/' "./internal/gateway -run Suspension"
 mutant "suspensions: requests' time not counted" internal/runner/runner.go 's/ctx, cancel := clock.WithDeadline(ctx, j.Deadline())/ctx, cancel := context.WithTimeout(ctx, clock.Until(j.Deadline()))/' "./internal/gateway -run Suspended"
 mutant "suspensions: a stop between two reads counts" internal/clock/kernel.go 's/if after-before <= maxApart {/if after-before >= 0 {/' ./internal/clock
