--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,19 +1,20 @@
-// Package clock gives the time that decisions use. It counts the time for which a VM was
-// suspended, as the steady clock of the runtime does not: after a suspension each age, lease
-// and deadline that was reckoned by the steady clock is too young by its length, so that an
-// entry would serve callers whose time is over and rely on a table that is long out of date.
+// Package clock provides the time for decisions. It includes the time for which the VM was
+// suspended, which the runtime's monotonic clock leaves out. By the monotonic clock every age,
+// lease and deadline would be too short by the suspension: an entry would serve callers whose
+// deadlines have passed, and would use a table that is long out of date.
 //
-//	steady clock   ----------|            |---------->   stands still while suspended
-//	boot clock     --------------------------------->   goes on
-//	Now            ----------|............|---------->   steady clock and what was missed
+//	monotonic clock  ----------|            |---------->   stops during a suspension
+//	boot clock       --------------------------------->   continues
+//	Now              ----------|............|---------->   monotonic clock plus suspensions
 //
-// A sampler (Run) compares the two clocks. When the boot clock has got ahead, Now jumps by
-// the difference, and what waits is told: WithDeadline ends what is over, Waits that are due
-// return. Until the first sample Now is the steady clock, and it stays so where there is no
-// boot clock. Time of day isn't used: it may step.
+// A sampler (Run) compares the two clocks. When the boot clock has moved ahead, Now jumps by
+// the difference and the listeners are notified: contexts of WithDeadline whose deadline has
+// passed end, and Wait returns if its time is up. Now equals the monotonic clock until the
+// first suspension is detected, and always if there is no boot clock. The wall clock isn't
+// used, as it may step.
 //
-// Timeouts of single calls between processes, a few seconds at most, stay on the steady
-// clock: they end that much after the VM has come back.
+// Timeouts of single calls between processes, a few seconds at most, stay on the monotonic
+// clock: they expire that much later after the VM resumes.
 package clock
 
 import (
@@ -25,68 +26,73 @@
 	"github.com/pkg/errors"
 )
 
-// Source tells for how long in all the VM has been suspended, or that it can't.
-type Source func() (suspended time.Duration, err error)
+// SuspensionSource returns the total time for which the VM has been suspended, or an error if
+// it can't be determined.
+type SuspensionSource func() (suspended time.Duration, err error)
 
 const (
-	// SampleEvery is how often Run samples: a suspension is noticed within it. A sample is
-	// three system calls.
-	SampleEvery = 100 * time.Millisecond
-	// minGap is the shortest suspension that counts, above what a sample may be wrong by.
-	minGap = 50 * time.Millisecond
+	// SampleInterval is the time between two samples of Run, and so the longest time until a
+	// suspension is detected. A sample takes three system calls.
+	SampleInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that counts. It exceeds the error of a sample.
+	minSuspension = 50 * time.Millisecond
 )
 
-// state is of the process: a VM is suspended with all that runs on it.
+// state is global, since a suspension affects the whole process. baseline is the source's value
+// up to which suspensions are counted, and is set by the first sample.
 var state = struct {
 	sync.Mutex
-	source   Source
-	base     time.Duration
-	sampled  bool
-	watchers map[*watcher]bool
-}{source: kernel, watchers: map[*watcher]bool{}}
+	source    SuspensionSource
+	baseline  time.Duration
+	sampled   bool
+	listeners map[*listener]bool
+}{source: kernelSource, listeners: map[*listener]bool{}}
 
-// missed is for how long in all the VM was suspended, in nanoseconds.
-var missed atomic.Int64
+// totalSuspended is the sum of all detected suspensions, in nanoseconds.
+var totalSuspended atomic.Int64
 
-// watcher is told of each suspension.
-type watcher struct{ told func(missed time.Duration) }
+// listener is notified of each suspension.
+type listener struct{ notify func(suspended time.Duration) }
 
-// Now is the time for decisions. Compare it with times of this package only.
-func Now() time.Time { return time.Now().Add(Missed()) }
+// Now returns the current time, including suspensions. Compare it only with times of this
+// package.
+func Now() time.Time { return time.Now().Add(TotalSuspended()) }
 
-// Since is the time since a moment of this clock.
+// Since returns the time elapsed since t, a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until a moment of this clock.
+// Until returns the time until t, a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Missed is for how long in all the VM was suspended since the first sample.
-func Missed() time.Duration { return time.Duration(missed.Load()) }
+// TotalSuspended returns the sum of all suspensions since the first sample.
+func TotalSuspended() time.Duration { return time.Duration(totalSuspended.Load()) }
 
-// OnSuspended has told called after each suspension, until stop is called.
-func OnSuspended(told func(missed time.Duration)) (stop func()) {
-	w := &watcher{told}
+// OnSuspended registers notify, which is called after each suspension with its length until
+// stop is called.
+func OnSuspended(notify func(suspended time.Duration)) (stop func()) {
+	l := &listener{notify}
 	state.Lock()
 	defer state.Unlock()
-	state.watchers[w] = true
+	state.listeners[l] = true
 	return func() {
 		state.Lock()
 		defer state.Unlock()
-		delete(state.watchers, w)
+		delete(state.listeners, l)
 	}
 }
 
-// Sample looks once whether the VM was suspended. An error says that this can't be told.
+// Sample checks once for a suspension and notifies the listeners. It returns an error if
+// suspensions can't be determined.
 func Sample() error {
-	gap, told, err := sample()
-	for _, w := range told {
-		w.told(gap)
+	suspension, listeners, err := sample()
+	for _, l := range listeners {
+		l.notify(suspension)
 	}
 	return err
 }
 
-// sample takes what was missed and returns whom to tell.
-func sample() (gap time.Duration, told []*watcher, err error) {
+// sample adds a new suspension to totalSuspended, and returns it and the listeners to notify.
+func sample() (suspension time.Duration, listeners []*listener, err error) {
 	state.Lock()
 	defer state.Unlock()
 	suspended, err := state.source()
@@ -97,38 +103,37 @@
 		return 0, nil, err
 	}
 	if !state.sampled {
-		state.base, state.sampled = suspended, true
+		state.baseline, state.sampled = suspended, true
 		return 0, nil, nil
 	}
-	gap = suspended - state.base
-	if gap < minGap {
+	suspension = suspended - state.baseline
+	if suspension < minSuspension {
 		return 0, nil, nil
 	}
-	state.base = suspended
-	missed.Add(int64(gap))
-	for w := range state.watchers {
-		told = append(told, w)
+	state.baseline = suspended
+	totalSuspended.Add(int64(suspension))
+	for l := range state.listeners {
+		listeners = append(listeners, l)
 	}
-	return gap, told, nil
+	return suspension, listeners, nil
 }
 
-// SetSource replaces the kernel as the source, for tests, until restore is called.
-func SetSource(s Source) (restore func()) {
+// SetSource replaces the source of suspensions until restore is called, for tests.
+func SetSource(s SuspensionSource) (restore func()) {
 	state.Lock()
 	defer state.Unlock()
-	before := state.source
+	previous := state.source
 	state.source, state.sampled = s, false
 	return func() {
 		state.Lock()
 		defer state.Unlock()
-		state.source, state.sampled = before, false
+		state.source, state.sampled = previous, false
 	}
 }
 
-// Run samples until the context ends, or until it turns out that suspensions can't be told,
-// which is returned.
+// Run samples until the context ends. It returns an error if suspensions can't be determined.
 func Run(ctx context.Context) error {
-	ticker := time.NewTicker(SampleEvery)
+	ticker := time.NewTicker(SampleInterval)
 	defer ticker.Stop()
 	for {
 		if err := Sample(); err != nil {
@@ -142,13 +147,14 @@
 	}
 }
 
-// Wait waits for a time, suspensions included, and returns false if the context ended first.
+// Wait waits for d, including suspensions, and returns true, or returns false if the context
+// ends first.
 func Wait(ctx context.Context, d time.Duration) bool {
-	end := Now().Add(d)
-	again := make(chan struct{}, 1)
+	deadline := Now().Add(d)
+	resumed := make(chan struct{}, 1)
 	stop := OnSuspended(func(time.Duration) {
 		select {
-		case again <- struct{}{}:
+		case resumed <- struct{}{}:
 		default:
 		}
 	})
@@ -159,28 +165,29 @@
 		select {
 		case <-timer.C:
 			return true
-		case <-again:
-			timer.Reset(max(Until(end), 0))
+		case <-resumed:
+			timer.Reset(max(Until(deadline), 0))
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// WithDeadline is context.WithDeadline for a moment of this clock. After a suspension that
-// reached the deadline the context is cancelled at once, and one that came near it ends in
-// time; its cause is context.DeadlineExceeded then (see Expired).
+// WithDeadline is context.WithDeadline for a time of this clock. If the deadline passes during
+// a suspension, the context is cancelled as soon as the suspension is detected; if it is still
+// ahead, the remaining time is shortened. The cause is then context.DeadlineExceeded (see
+// Expired).
 func WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancelCause := context.WithCancelCause(parent)
 	ctx, cancel := context.WithTimeout(ctx, Until(deadline))
-	over := func() { cancelCause(context.DeadlineExceeded) }
+	expire := func() { cancelCause(context.DeadlineExceeded) }
 	stop := OnSuspended(func(time.Duration) {
-		if left := Until(deadline); left > 0 {
-			timer := time.AfterFunc(left, over)
+		if remaining := Until(deadline); remaining > 0 {
+			timer := time.AfterFunc(remaining, expire)
 			context.AfterFunc(ctx, func() { timer.Stop() })
 			return
 		}
-		over()
+		expire()
 	})
 	return ctx, func() {
 		stop()
@@ -189,7 +196,7 @@
 	}
 }
 
-// Expired reports whether a context has ended because its time was up.
+// Expired reports whether the context has ended because its deadline passed.
 func Expired(ctx context.Context) bool {
 	return context.Cause(ctx) == context.DeadlineExceeded
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,8 +13,8 @@
 	"github.com/bridgehoist/bridgehoist/internal/clock"
 )
 
-// suspendable makes suspensions of the process that a test brings about.
-func suspendable(t *testing.T) (suspend func(time.Duration)) {
+// fakeSuspension replaces the source of suspensions and returns a function that simulates one.
+func fakeSuspension(t *testing.T) (suspend func(time.Duration)) {
 	var total atomic.Int64
 	t.Cleanup(clock.SetSource(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
 	if err := clock.Sample(); err != nil {
@@ -28,12 +28,12 @@
 	}
 }
 
-// TestAgesCountSuspendedTime: what was stamped before is older by it. What is too short to
-// be told from the reading of clocks adds up until it counts.
+// TestAgesCountSuspendedTime checks that a suspension adds to the age of earlier times.
+// Suspensions too short to be distinguished from sampling errors add up until they count.
 func TestAgesCountSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		suspend := suspendable(t)
+		suspend := fakeSuspension(t)
 		stamp := clock.Now()
 		deadline := stamp.Add(time.Minute)
 		time.Sleep(time.Second)
@@ -47,29 +47,30 @@
 	})
 }
 
-// TestDeadlinesCountSuspendedTime: a context whose time is over ends at once, another one
-// when its time is over by this clock, and each says why.
+// TestDeadlinesCountSuspendedTime checks that a context whose deadline passed during a
+// suspension ends at once, that another one ends when this clock reaches its deadline, and that
+// Expired reports both.
 func TestDeadlinesCountSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		suspend := suspendable(t)
-		begun := time.Now()
-		over, cancelOver := clock.WithDeadline(t.Context(), clock.Now().Add(10*time.Second))
-		defer cancelOver()
-		left, cancelLeft := clock.WithDeadline(t.Context(), clock.Now().Add(30*time.Second))
-		defer cancelLeft()
+		suspend := fakeSuspension(t)
+		startedAt := time.Now()
+		expired, cancelExpired := clock.WithDeadline(t.Context(), clock.Now().Add(10*time.Second))
+		defer cancelExpired()
+		remaining, cancelRemaining := clock.WithDeadline(t.Context(), clock.Now().Add(30*time.Second))
+		defer cancelRemaining()
 		suspend(20 * time.Second)
 		synctest.Wait()
-		g.Expect(over.Err()).To(HaveOccurred())
-		g.Expect(clock.Expired(over)).To(BeTrue())
-		g.Expect(left.Err()).NotTo(HaveOccurred())
-		<-left.Done()
-		g.Expect(clock.Expired(left)).To(BeTrue())
-		g.Expect(time.Since(begun)).To(Equal(10 * time.Second))
+		g.Expect(expired.Err()).To(HaveOccurred())
+		g.Expect(clock.Expired(expired)).To(BeTrue())
+		g.Expect(remaining.Err()).NotTo(HaveOccurred())
+		<-remaining.Done()
+		g.Expect(clock.Expired(remaining)).To(BeTrue())
+		g.Expect(time.Since(startedAt)).To(Equal(10 * time.Second))
 	})
 }
 
-// TestDeadlinesWithoutSuspension end as those of package context do.
+// TestDeadlinesWithoutSuspension checks that contexts end as those of package context do.
 func TestDeadlinesWithoutSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -77,60 +78,61 @@
 		defer cancel()
 		<-ctx.Done()
 		g.Expect(clock.Expired(ctx)).To(BeTrue())
-		left, leave := clock.WithDeadline(t.Context(), clock.Now().Add(time.Second))
-		leave()
-		g.Expect(left.Err()).To(MatchError(context.Canceled))
-		g.Expect(clock.Expired(left)).To(BeFalse())
+		cancelled, cancelNow := clock.WithDeadline(t.Context(), clock.Now().Add(time.Second))
+		cancelNow()
+		g.Expect(cancelled.Err()).To(MatchError(context.Canceled))
+		g.Expect(clock.Expired(cancelled)).To(BeFalse())
 	})
 }
 
-// TestWaitsCountSuspendedTime.
 func TestWaitsCountSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		suspend := suspendable(t)
-		begun := time.Now()
+		suspend := fakeSuspension(t)
+		startedAt := time.Now()
 		done := make(chan bool)
 		go func() { done <- clock.Wait(t.Context(), time.Minute) }()
 		synctest.Wait()
 		suspend(40 * time.Second)
 		g.Expect(<-done).To(BeTrue())
-		g.Expect(time.Since(begun)).To(Equal(20 * time.Second))
+		g.Expect(time.Since(startedAt)).To(Equal(20 * time.Second))
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		g.Expect(clock.Wait(ctx, time.Hour)).To(BeFalse())
 	})
 }
 
-// TestWatchersAreTold once for each suspension, until they stop.
-func TestWatchersAreTold(t *testing.T) {
+// TestListenersAreNotified checks that listeners are called once per suspension until they are
+// stopped.
+func TestListenersAreNotified(t *testing.T) {
 	g := NewWithT(t)
-	suspend := suspendable(t)
-	var told []time.Duration
-	stop := clock.OnSuspended(func(missed time.Duration) { told = append(told, missed) })
+	suspend := fakeSuspension(t)
+	var notified []time.Duration
+	stop := clock.OnSuspended(func(suspended time.Duration) { notified = append(notified, suspended) })
 	suspend(time.Second)
 	suspend(2 * time.Second)
 	stop()
 	suspend(3 * time.Second)
-	g.Expect(told).To(Equal([]time.Duration{time.Second, 2 * time.Second}))
+	g.Expect(notified).To(Equal([]time.Duration{time.Second, 2 * time.Second}))
 }
 
-// TestWithoutABootClock time goes on as the steady clock says.
-func TestWithoutABootClock(t *testing.T) {
+// TestWithoutBootClock checks that the time follows the monotonic clock if there is no boot
+// clock.
+func TestWithoutBootClock(t *testing.T) {
 	g := NewWithT(t)
 	failed := errors.New("no such clock")
 	t.Cleanup(clock.SetSource(func() (time.Duration, error) { return 0, failed }))
-	before := clock.Missed()
+	before := clock.TotalSuspended()
 	g.Expect(clock.Run(t.Context())).To(MatchError(failed))
-	g.Expect(clock.Missed()).To(Equal(before))
+	g.Expect(clock.TotalSuspended()).To(Equal(before))
 }
 
-// TestTheKernelTells both clocks.
-func TestTheKernelTells(t *testing.T) {
+// TestKernelSource checks that both kernel clocks can be read and show no suspension.
+func TestKernelSource(t *testing.T) {
 	g := NewWithT(t)
-	before := clock.Missed()
+	total := clock.TotalSuspended()
 	for range 3 {
 		g.Expect(clock.Sample()).To(Succeed())
 	}
-	g.Expect(clock.Missed()).To(Equal(before), "this machine isn't suspended meanwhile")
+	g.Expect(clock.TotalSuspended()).To(Equal(total), "the machine isn't suspended during the test")
 }
--- a/internal/clock/kernel.go
+++ b/internal/clock/kernel.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// maxApart is the longest time between the reads that belong together; it is what a sample
-	// may be wrong by. Three reads take about a microsecond where nothing comes between them.
-	maxApart = 5 * time.Millisecond
-	// maxTries bounds the system calls of a sample on a VM that is short of processor.
-	maxTries = 3
+	// maxReadSpan is the longest time that the reads of one sample may take together, and so
+	// the largest error of a sample. Three uninterrupted reads take about a microsecond.
+	maxReadSpan = 5 * time.Millisecond
+	// maxAttempts limits the system calls per sample on a VM with little processor time.
+	maxAttempts = 3
 )
 
-// errInterrupted says that something came between the reads each time. The next sample tells.
+// errInterrupted means that the process was interrupted between the reads in every attempt. The
+// next sample makes up for it.
 var errInterrupted = errors.New("clock: interrupted between reads")
 
-// kernel asks the kernel's clocks: the boot clock counts suspended time, the steady one
-// does not.
-func kernel() (time.Duration, error) { return compare(read) }
+// kernelSource determines suspensions from the kernel's clocks: the boot clock includes
+// suspended time, the monotonic clock doesn't.
+func kernelSource() (time.Duration, error) { return measureSuspended(readClock) }
 
-// compare tells by how much the boot clock is ahead. It is read between two reads of the
-// steady one: a process that is stopped or preempted between two clocks would take that time
-// for a suspension, and keep it for good.
-func compare(read func(id int32) (time.Duration, error)) (ahead time.Duration, err error) {
-	for range maxTries {
-		before, err := read(unix.CLOCK_MONOTONIC)
+// measureSuspended returns by how much the boot clock is ahead of the monotonic clock. The boot
+// clock is read between two reads of the monotonic one. Otherwise time for which the process
+// was stopped or preempted between two reads would permanently count as a suspension.
+func measureSuspended(read func(id int32) (time.Duration, error)) (suspended time.Duration, err error) {
+	for range maxAttempts {
+		monotonic, err := read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
@@ -39,14 +40,14 @@
 		if err != nil {
 			return 0, err
 		}
-		if after-before <= maxApart {
-			return boot - before, nil
+		if after-monotonic <= maxReadSpan {
+			return boot - monotonic, nil
 		}
 	}
 	return 0, errInterrupted
 }
 
-func read(id int32) (time.Duration, error) {
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, errors.Wrap(err, "clock")
--- a/internal/clock/kernel_test.go
+++ b/internal/clock/kernel_test.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAStopBetweenTwoReadsIsNoSuspension: a process that is stopped, or has no processor,
-// after it has read one clock and before it reads the other has not been suspended.
-func TestAStopBetweenTwoReadsIsNoSuspension(t *testing.T) {
+// TestPreemptionBetweenReadsIsNoSuspension checks that a process that is stopped or preempted
+// after the read of one clock and before that of the other doesn't count as suspended.
+func TestPreemptionBetweenReadsIsNoSuspension(t *testing.T) {
 	const suspended = 3 * time.Second
 	for stopped := range 4 {
 		g := NewWithT(t)
 		now, reads := time.Hour, 0
-		got, err := compare(func(id int32) (time.Duration, error) {
+		got, err := measureSuspended(func(id int32) (time.Duration, error) {
 			if reads == stopped {
 				now += 10 * time.Second
 			}
@@ -27,15 +27,16 @@
 			return now, nil
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(BeNumerically("~", suspended, maxApart), "stopped before read %d", stopped)
+		g.Expect(got).To(BeNumerically("~", suspended, maxReadSpan), "stopped before read %d", stopped)
 	}
 }
 
-// TestAVMThatIsAlwaysInterrupted tells nothing new rather than something wrong.
-func TestAVMThatIsAlwaysInterrupted(t *testing.T) {
+// TestInterruptedInEveryAttempt checks that a sample fails rather than returning a wrong value
+// if every attempt is interrupted.
+func TestInterruptedInEveryAttempt(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
-	_, err := compare(func(int32) (time.Duration, error) {
+	_, err := measureSuspended(func(int32) (time.Duration, error) {
 		now += time.Second
 		return now, nil
 	})
--- a/internal/clock/suspendable.go
+++ b/internal/clock/suspendable.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Programs built with the tag read how long they were suspended from the file that this
-// variable names, so that the soak can suspend processes without root. The shipped programs
-// are built without it.
+// suspendedVariable names the environment variable with the path of a file that contains the
+// suspended time. Programs built with the tag read it, so that the soak test can suspend
+// processes without root. Released programs are built without the tag.
 const suspendedVariable = "SOAK_SUSPENDED"
 
 func init() {
--- a/internal/heap/heap.go
+++ b/internal/heap/heap.go
@@ -1,9 +1,10 @@
-// Package heap bounds how much memory the garbage collector lets pile up beyond what is in use.
+// Package heap bounds the garbage that accumulates between two garbage collections.
 //
-// The runtime's default lets the heap double between collections. For an entry that knows thousands
-// of endpoints that is as much again as the list takes, on VMs of little memory, though the entry
-// allocates no more a second than one that knows few. The collector is therefore told to run after a
-// bounded growth once more than that is live.
+// By default the Go runtime lets the heap double between collections. For an entry with
+// thousands of endpoints the garbage would take as much memory as the fleet list, on VMs with
+// little memory, although its allocation rate is no higher than that of an entry with few.
+// Therefore, once the live heap exceeds a fixed size, the next collection starts after a fixed
+// growth.
 package heap
 
 import (
@@ -16,37 +17,39 @@
 )
 
 const (
-	// growth is how much the heap may grow between collections, in bytes, where more is live.
-	growth = 6 << 20
-	// usual and least bound the growth in percent of what is live: below the least the collector
-	// would run all the time.
-	usual = 100
-	least = 25
-	// every is how often the growth is set anew.
-	every = 2 * time.Second
-	// liveMetric is the heap that the last collection left, in bytes.
+	// maxGrowth is how much a larger live heap may grow between collections, in bytes.
+	maxGrowth = 6 << 20
+	// defaultPercent and minPercent limit the growth in percent of the live heap. Below
+	// minPercent the collector would run continuously.
+	defaultPercent = 100
+	minPercent     = 25
+	// adjustInterval is the time between two adjustments of the GC percentage.
+	adjustInterval = 2 * time.Second
+	// liveMetric is the live heap after the last collection, in bytes.
 	liveMetric = "/gc/heap/live:bytes"
 )
 
-// Percent is by how much the heap may grow until the next collection, in percent of the live bytes.
-func Percent(live uint64) int {
-	if live <= growth {
-		return usual
+// GCPercent returns the growth until the next collection in percent of the live heap, as
+// debug.SetGCPercent takes it.
+func GCPercent(live uint64) int {
+	if live <= maxGrowth {
+		return defaultPercent
 	}
-	return max(int(growth*100/live), least)
+	return max(int(maxGrowth*100/live), minPercent)
 }
 
-// Bound keeps the growth within its bound until the context ends.
+// Bound adjusts the GC percentage to the live heap until the context ends, or returns at once
+// if the runtime doesn't provide the metric.
 func Bound(ctx context.Context) {
 	sample := []metrics.Sample{{Name: liveMetric}}
-	set := usual
-	for pause.For(ctx, every) {
+	current := defaultPercent
+	for pause.For(ctx, adjustInterval) {
 		metrics.Read(sample)
 		if sample[0].Value.Kind() != metrics.KindUint64 {
 			return
 		}
-		if next := Percent(sample[0].Value.Uint64()); next != set {
-			set = next
+		if next := GCPercent(sample[0].Value.Uint64()); next != current {
+			current = next
 			debug.SetGCPercent(next)
 		}
 	}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits within a context.
+// Package pause provides a sleep that ends with a context.
 package pause
 
 import (
@@ -8,6 +8,6 @@
 	"github.com/bridgehoist/bridgehoist/internal/clock"
 )
 
-// For waits, and returns false if the context ended first. Time for which the VM was
-// suspended counts.
+// For sleeps for d and returns true, or returns false if the context ends first. Time for which
+// the VM was suspended counts.
 func For(ctx context.Context, d time.Duration) bool { return clock.Wait(ctx, d) }
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -246,7 +246,7 @@
 			counted = append(counted, a.at)
 		}
 	}
-	return window.Most(counted, limitWindow)
+	return window.MaxCount(counted, limitWindow)
 }
 
 func (f *limitedFleet) since(endpoint string, since time.Time) (n int) {
--- a/internal/soak/throttling_test.go
+++ b/internal/soak/throttling_test.go
@@ -243,7 +243,7 @@
 		}
 	}
 	allowed := limitFactor*n.perSecond*limitWindow.Seconds() + limitSlack
-	if most := window.Most(counted, limitWindow); float64(most) > allowed {
+	if most := window.MaxCount(counted, limitWindow); float64(most) > allowed {
 		w.t.Errorf("%s named %.1f a second and got %d in %v of %v", n.endpoint.ID, n.perSecond, most, limitWindow, slices.Sorted(maps.Keys(told)))
 	}
 }
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -3,15 +3,15 @@
 
 import "time"
 
-// Most counts the events in the fullest window of a width, both of its ends included. The times
-// are in order.
-func Most(times []time.Time, width time.Duration) int {
-	most, first := 0, 0
-	for last, at := range times {
-		for at.Sub(times[first]) > width {
+// MaxCount returns the largest number of events in any time window of the given width, with
+// both ends included. The times must be sorted in ascending order.
+func MaxCount(times []time.Time, width time.Duration) int {
+	maxCount, first := 0, 0
+	for last, t := range times {
+		for t.Sub(times[first]) > width {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxCount = max(maxCount, last-first+1)
 	}
-	return most
+	return maxCount
 }
--- a/pkg/scheduler/limit_test.go
+++ b/pkg/scheduler/limit_test.go
@@ -113,7 +113,7 @@
 }
 
 // maxInWindow returns the highest number of requests to limited endpoints in any limitWindow.
-func (f *limitedFleet) maxInWindow() int { return window.Most(f.limitedSends, limitWindow) }
+func (f *limitedFleet) maxInWindow() int { return window.MaxCount(f.limitedSends, limitWindow) }
 
 // TestLimitedEndpointsGetAtMostTheirLimit checks that, whatever the number of entries, an
 // endpoint with a limit gets no more requests than that from all entries together, and that
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -177,15 +177,15 @@
 mutant "crashing requests: callers that left forgotten" internal/crashwatch/crashwatch.go 's/w.left = append(w.left, leftRun{run, at.Instance()})//' ./internal/crashwatch
 mutant "crashing requests: ends not seen by an entry" internal/entry/entry.go 's/OnBroken:     e.onBroken,//' ./internal/entry
 K=internal/clock/clock.go
-mutant "suspensions: not counted" $K 's/return time.Now().Add(Missed())/return time.Now()/' ./internal/clock
-mutant "suspensions: deadlines not ended" $K 's/^\t\tover()$/\t\t_ = over/' "./internal/clock ./internal/gateway -run Suspended"
-mutant "suspensions: deadlines end late" $K 's/if left := Until(deadline); left > 0 {/if left := Until(deadline); left > 0 {\n\t\t\treturn/' ./internal/clock
-mutant "suspensions: waits go on" $K 's/timer.Reset(max(Until(end), 0))/_ = end/' ./internal/clock
-mutant "suspensions: short ones lost" $K 's/^\tstate.base = suspended$/\tstate.base = suspended + 1/;s/if gap < minGap {/if gap < minGap {\n\t\tstate.base = suspended/' ./internal/clock
+mutant "suspensions: not counted" $K 's/return time.Now().Add(TotalSuspended())/return time.Now()/' ./internal/clock
+mutant "suspensions: deadlines not ended" $K 's/^\t\texpire()$/\t\t_ = expire/' "./internal/clock ./internal/gateway -run Suspended"
+mutant "suspensions: deadlines end late" $K 's/if remaining := Until(deadline); remaining > 0 {/if remaining := Until(deadline); remaining > 0 {\n\t\t\treturn/' ./internal/clock
+mutant "suspensions: waits go on" $K 's/timer.Reset(max(Until(deadline), 0))/_ = deadline/' ./internal/clock
+mutant "suspensions: short ones lost" $K 's/^\tstate.baseline = suspended$/\tstate.baseline = suspended + 1/;s/if suspension < minSuspension {/if suspension < minSuspension {\n\t\tstate.baseline = suspended/' ./internal/clock
 mutant "suspensions: peers blamed" pkg/membership/membership.go 's/n.heard = n.heard.Add(d)/n.heard = n.heard.Add(0)/' ./pkg/membership
 mutant "suspensions: table relied on" internal/gateway/suspended.go 's/if g.doubtful.Load() {/if false {/' "./internal/gateway -run Suspension"
 mutant "suspensions: requests' time not counted" internal/runner/runner.go 's/ctx, cancel := clock.WithDeadline(ctx, j.Deadline())/ctx, cancel := context.WithTimeout(ctx, clock.Until(j.Deadline()))/' "./internal/gateway -run Suspended"
-mutant "suspensions: a stop between two reads counts" internal/clock/kernel.go 's/if after-before <= maxApart {/if after-before >= 0 {/' ./internal/clock
+mutant "suspensions: a stop between two reads counts" internal/clock/kernel.go 's/if after-monotonic <= maxReadSpan {/if after-monotonic >= 0 {/' ./internal/clock
 
 N=pkg/backpressure
 mutant "throttling: limits not kept" $N/set.go 's/return st.bucket.hasToken()/return true/' "./pkg/scheduler -run Limited"
