--- a/internal/contain/contain.go
+++ b/internal/contain/contain.go
@@ -1,6 +1,6 @@
-// Package contain keeps what an entry knows of requests that crash what runs them, and
-// refuses those that are contained. Package quarantine decides; this one serialises it, has
-// the clock, and tells of changes.
+// Package contain holds an entry's record of requests that crash endpoints, and refuses
+// requests that are contained. The decisions are made by package quarantine; this package adds
+// locking, the clock and notifications of changes.
 package contain
 
 import (
@@ -16,105 +16,111 @@
 	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
 )
 
-// Change tells that what is held against a request has changed.
+// Change is a change in the quarantine status of a request.
 type Change struct {
-	Identity quarantine.Identity
-	Before   quarantine.Status
-	Now      quarantine.Status
-	Ends     int
+	Identity     quarantine.Identity
+	Previous     quarantine.Status
+	Current      quarantine.Status
+	Terminations int
 }
 
-// Guard holds a quarantine.Set for an entry. It is safe for concurrent use.
+// Guard wraps the quarantine.Set of an entry. It is safe for concurrent use.
 type Guard struct {
-	// idle says that the set is empty, so that requests needn't be hashed before they are sent.
-	idle atomic.Bool
+	// empty is true while the set holds no facts, so that requests needn't be hashed before
+	// they are sent.
+	empty atomic.Bool
 
-	mu       sync.Mutex
-	set      *quarantine.Set
-	onChange func([]Change)
-	onNews   func()
-	onApart  func()
+	mu                sync.Mutex
+	set               *quarantine.Set
+	onStatusChange    func([]Change)
+	onNewFacts        func()
+	onIsolationChange func()
 }
 
-// New makes a guard that knows nothing.
+// New returns a Guard without facts.
 func New() *Guard {
-	g := &Guard{set: quarantine.New(), onChange: func([]Change) {}, onNews: func() {}, onApart: func() {}}
-	g.idle.Store(true)
+	g := &Guard{set: quarantine.New(), onStatusChange: func([]Change) {}, onNewFacts: func() {}, onIsolationChange: func() {}}
+	g.empty.Store(true)
 	return g
 }
 
-// OnApart sets what is called when the requests that are to be kept apart may have changed.
-// It is called before the guard is used.
-func (g *Guard) OnApart(changed func()) { g.onApart = changed }
+// OnIsolationChange sets a callback for possible changes of the set of isolated requests. It
+// must be called before the guard is used.
+func (g *Guard) OnIsolationChange(onChange func()) { g.onIsolationChange = onChange }
 
-// OnNews sets what is called when facts were news, with the changes that followed, and what
-// is called for other entries to be told soon. It is called before the guard is used.
-func (g *Guard) OnNews(changed func([]Change), tell func()) { g.onChange, g.onNews = changed, tell }
+// OnNewFacts sets two callbacks that are called when facts are added that were unknown:
+// onStatusChange with the changes that follow from them, if any, and onNewFacts so that the
+// facts are published to the peers soon. It must be called before the guard is used.
+func (g *Guard) OnNewFacts(onStatusChange func([]Change), onNewFacts func()) {
+	g.onStatusChange, g.onNewFacts = onStatusChange, onNewFacts
+}
 
-// Off makes the guard hold nothing against any request, for measurements. It is called
-// before the guard is used.
-func (g *Guard) Off() { g.set = nil }
+// Disable makes the guard record nothing and permit every request, for experiments. It must be
+// called before the guard is used.
+func (g *Guard) Disable() { g.set = nil }
 
-func (g *Guard) off() bool { return g.set == nil }
+func (g *Guard) disabled() bool { return g.set == nil }
 
-// Add records facts, of this entry or of another one.
+// Add records facts from this entry or from peers.
 func (g *Guard) Add(facts ...quarantine.Fact) {
-	if g.off() || len(facts) == 0 {
+	if g.disabled() || len(facts) == 0 {
 		return
 	}
-	changes, news := g.add(facts)
+	changes, added := g.add(facts)
 	if len(changes) > 0 {
-		g.onChange(changes)
+		g.onStatusChange(changes)
 	}
-	if news {
-		g.onApart()
-		g.onNews()
+	if added {
+		g.onIsolationChange()
+		g.onNewFacts()
 	}
 }
 
-func (g *Guard) add(facts []quarantine.Fact) (changes []Change, news bool) {
+func (g *Guard) add(facts []quarantine.Fact) (changes []Change, added bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	// News of one request may show that another is innocent.
-	before := g.set.Statuses(now)
+	// A fact on one request may clear another one, so the status of every candidate is
+	// compared.
+	previous := g.set.Statuses(now)
 	for _, f := range facts {
-		before[f.Identity], _ = g.set.Status(now, f.Identity)
+		previous[f.Identity], _ = g.set.Status(now, f.Identity)
 	}
-	news = len(g.set.Add(now, facts...)) > 0
-	g.idle.Store(g.set.Empty())
-	for id, was := range before {
-		if is, _ := g.set.Status(now, id); is != was {
-			changes = append(changes, Change{id, was, is, g.set.Terminations(id)})
+	added = len(g.set.Add(now, facts...)) > 0
+	g.empty.Store(g.set.Empty())
+	for id, old := range previous {
+		if current, _ := g.set.Status(now, id); current != old {
+			changes = append(changes, Change{id, old, current, g.set.Terminations(id)})
 		}
 	}
-	return changes, news
+	return changes, added
 }
 
-// Ended records that a life of an endpoint ended under requests.
-func (g *Guard) Ended(e crashwatch.End, under []crashwatch.Run) {
-	if g.off() {
+// RecordTermination records that an instance terminated while it ran requests.
+func (g *Guard) RecordTermination(termination crashwatch.Termination, runs []crashwatch.Run) {
+	if g.disabled() {
 		return
 	}
-	g.Add(crashwatch.Facts(e, g.evidence(under))...)
+	g.Add(crashwatch.Facts(termination, g.filterEvidence(runs))...)
 }
 
-// evidence leaves out the runs that an end says nothing of.
-func (g *Guard) evidence(under []crashwatch.Run) (out []crashwatch.Run) {
+// filterEvidence drops the runs against which a termination doesn't count; see
+// quarantine.Set.IsEvidence.
+func (g *Guard) filterEvidence(runs []crashwatch.Run) (evidence []crashwatch.Run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, run := range under {
-		if g.set.IsEvidence(clock.Now(), run.Identity, run.Sent) {
-			out = append(out, run)
+	for _, run := range runs {
+		if g.set.IsEvidence(clock.Now(), run.Identity, run.SentAt) {
+			evidence = append(evidence, run)
 		}
 	}
-	return out
+	return evidence
 }
 
-// EndsOf counts the ends of an endpoint since a listed life that are known; see
-// quarantine.Set.
-func (g *Guard) EndsOf(listed fleet.Instance, until time.Time) int {
-	if g.off() || g.idle.Load() {
+// CountTerminations returns the number of terminations of an endpoint, from the listed instance
+// on, that are recorded up to a given time; see quarantine.Set.CountTerminations.
+func (g *Guard) CountTerminations(listed fleet.Instance, until time.Time) int {
+	if g.disabled() || g.empty.Load() {
 		return 0
 	}
 	g.mu.Lock()
@@ -122,9 +128,9 @@
 	return g.set.CountTerminations(listed, until)
 }
 
-// KeptApart lists the requests that are to be kept apart.
-func (g *Guard) KeptApart() []quarantine.IsolatedRequest {
-	if g.off() || g.idle.Load() {
+// IsolatedRequests returns the requests that must run on an endpoint of their own.
+func (g *Guard) IsolatedRequests() []quarantine.IsolatedRequest {
+	if g.disabled() || g.empty.Load() {
 		return nil
 	}
 	g.mu.Lock()
@@ -132,42 +138,42 @@
 	return g.set.IsolatedRequests(clock.Now())
 }
 
-// Whole records that a run of a request came whole.
-func (g *Guard) Whole(identity func() quarantine.Identity) {
-	if g.off() {
+// RecordCompletion records that a run of a request completed.
+func (g *Guard) RecordCompletion(identity func() quarantine.Identity) {
+	if g.disabled() {
 		return
 	}
 	id := identity()
 	g.mu.Lock()
-	f, clears := g.set.RecordCompletion(clock.Now(), id, rand.Uint64())
+	f, cleared := g.set.RecordCompletion(clock.Now(), id, rand.Uint64())
 	g.mu.Unlock()
-	if clears {
+	if cleared {
 		g.Add(f)
 	}
 }
 
-// Check refuses a request that is contained; nil says that it may be sent.
+// Check returns an error if a request is contained, or nil if it may be sent.
 func (g *Guard) Check(identity func() quarantine.Identity) *outcome.Error {
-	if g.off() || g.idle.Load() {
+	if g.disabled() || g.empty.Load() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return refused(g.set.Check(clock.Now(), identity()))
+	return refusalError(g.set.Check(clock.Now(), identity()))
 }
 
-// Begin is Check for a request that is sent at once if it may be. The function that it
-// returns says that the try has ended.
+// Begin is Check for a request that is sent at once if permitted. The caller calls finish when
+// the attempt has ended.
 func (g *Guard) Begin(identity func() quarantine.Identity) (finish func(), err *outcome.Error) {
-	if g.off() || g.idle.Load() {
+	if g.disabled() || g.empty.Load() {
 		return func() {}, nil
 	}
 	id := identity()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	alone, refusal := g.set.Begin(clock.Now(), id)
-	if refusal != nil || !alone {
-		return func() {}, refused(refusal)
+	probe, refusal := g.set.Begin(clock.Now(), id)
+	if refusal != nil || !probe {
+		return func() {}, refusalError(refusal)
 	}
 	return func() {
 		g.mu.Lock()
@@ -176,21 +182,22 @@
 	}, nil
 }
 
-// refused words a refusal: nothing of this try has run, which says nothing of earlier ones.
-func refused(r *quarantine.Refusal) *outcome.Error {
+// refusalError converts a refusal to an error for the caller. The error says that this attempt
+// has not run, and nothing about earlier attempts.
+func refusalError(r *quarantine.Refusal) *outcome.Error {
 	if r == nil {
 		return nil
 	}
-	why := "the request is on trial, one try at a time"
+	reason := "the request is on trial, one try at a time"
 	if r.Status == quarantine.Contained {
-		why = "the request is in quarantine"
+		reason = "the request is in quarantine"
 	}
-	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", why, r.Terminations).WithRetryAfter(r.RetryAfter)
+	return outcome.NotRunf(outcome.CodeQuarantined, "%s: %d endpoints ended while they ran it; this try has not run", reason, r.Terminations).WithRetryAfter(r.RetryAfter)
 }
 
-// SetPlace tells the place of this entry among all; see quarantine.Set.
-func (g *Guard) SetPlace(rank, entries int) {
-	if g.off() {
+// SetRank sets the rank of this entry among all entries; see quarantine.Set.SetRank.
+func (g *Guard) SetRank(rank, entries int) {
+	if g.disabled() {
 		return
 	}
 	g.mu.Lock()
@@ -198,22 +205,22 @@
 	g.set.SetRank(rank, entries)
 }
 
-// Forget drops what is too old.
-func (g *Guard) Forget(now time.Time) {
-	if g.off() || g.idle.Load() {
+// Expire drops facts that are too old.
+func (g *Guard) Expire(now time.Time) {
+	if g.disabled() || g.empty.Load() {
 		return
 	}
 	g.mu.Lock()
 	g.set.Expire(now)
-	g.idle.Store(g.set.Empty())
+	g.empty.Store(g.set.Empty())
 	g.mu.Unlock()
-	// By now others may avoid fewer endpoints.
-	g.onApart()
+	// Isolated requests may have to avoid fewer endpoints now.
+	g.onIsolationChange()
 }
 
-// Keys names the facts known.
+// Keys returns the keys of all facts.
 func (g *Guard) Keys() []quarantine.Key {
-	if g.off() || g.idle.Load() {
+	if g.disabled() || g.empty.Load() {
 		return nil
 	}
 	g.mu.Lock()
@@ -221,20 +228,20 @@
 	return g.set.Keys()
 }
 
-// Compare returns the facts that a peer with these keys lacks, and the keys of those that
-// only it has.
-func (g *Guard) Compare(theirs []quarantine.Key) (missing []quarantine.Fact, wanted []quarantine.Key) {
-	if g.off() || g.idle.Load() && len(theirs) == 0 {
+// Compare returns the facts that a peer with the given keys lacks, and the keys of the facts
+// that only the peer has.
+func (g *Guard) Compare(peerKeys []quarantine.Key) (missing []quarantine.Fact, wanted []quarantine.Key) {
+	if g.disabled() || g.empty.Load() && len(peerKeys) == 0 {
 		return nil, nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.Compare(theirs)
+	return g.set.Compare(peerKeys)
 }
 
-// Facts returns those of the keys that are known.
+// Facts returns the facts with the given keys, leaving out unknown keys.
 func (g *Guard) Facts(keys []quarantine.Key) []quarantine.Fact {
-	if g.off() || len(keys) == 0 {
+	if g.disabled() || len(keys) == 0 {
 		return nil
 	}
 	g.mu.Lock()
@@ -242,9 +249,9 @@
 	return g.set.Facts(keys)
 }
 
-// Counts tells how many requests are held to each standing but Unknown.
+// Counts returns the number of requests in each status except Unknown.
 func (g *Guard) Counts() map[quarantine.Status]int {
-	if g.off() || g.idle.Load() {
+	if g.disabled() || g.empty.Load() {
 		return nil
 	}
 	g.mu.Lock()
--- a/internal/contain/gauges.go
+++ b/internal/contain/gauges.go
@@ -2,12 +2,13 @@
 
 import "github.com/bridgehoist/bridgehoist/pkg/quarantine"
 
-// Registry takes gauges that are read when they are asked for.
+// Registry registers gauges whose values are read at collection time.
 type Registry interface {
 	Gauge(name, help string, read func() float64)
 }
 
-// Gauges registers how many requests are held to each standing.
+// Gauges registers a gauge for each quarantine status except Unknown: the number of requests in
+// it.
 func Gauges(r Registry, g *Guard) {
 	help := map[quarantine.Status]string{
 		quarantine.Suspected: "Requests under which some endpoints ended.",
@@ -15,7 +16,7 @@
 		quarantine.HalfOpen:  "Requests that crashed endpoints and may be tried again.",
 		quarantine.Contained: "Requests that crash endpoints and are refused.",
 	}
-	for standing, text := range help {
-		r.Gauge("requests_"+standing.String(), text, func() float64 { return float64(g.Counts()[standing]) })
+	for status, text := range help {
+		r.Gauge("requests_"+status.String(), text, func() float64 { return float64(g.Counts()[status]) })
 	}
 }
--- a/internal/contain/log.go
+++ b/internal/contain/log.go
@@ -6,11 +6,12 @@
 	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
 )
 
-// LogChanges logs which requests go into quarantine or are kept apart, and which leave that.
+// LogChanges logs which requests become isolated, half-open or contained, and which cease to
+// be.
 func LogChanges(logger *log.Logger, changes []Change) {
 	for _, c := range changes {
-		if c.Now > quarantine.Suspected || c.Before > quarantine.Suspected {
-			logger.Warn("quarantine", "identity", c.Identity, "standing", c.Now, "before", c.Before, "ends", c.Ends)
+		if c.Current > quarantine.Suspected || c.Previous > quarantine.Suspected {
+			logger.Warn("quarantine", "identity", c.Identity, "standing", c.Current, "before", c.Previous, "ends", c.Terminations)
 		}
 	}
 }
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -1,28 +1,29 @@
-// Package crashwatch finds out whether an endpoint ended while requests ran in it.
+// Package crashwatch detects whether an endpoint terminated while it ran requests.
 //
-// A broken connection alone doesn't say so: links are cut, connections are reset, answers
-// are spoilt. So the first run that breaks off at a life of an endpoint opens a case, which
-// all others that break off there join, and the watcher looks whether the process is there:
+// A broken connection alone doesn't show a termination: links are cut, connections are reset
+// and responses are malformed. The first run that breaks off at an instance therefore opens an
+// incident, which further runs that break off there join, and the watcher probes the endpoint:
 //
-//	a run broke off
+//	a run breaks off
 //	      |
-//	      v            refuses connections, or the list shows it
-//	  [open] ------------------------------------------------------> [ended]: told
-//	      |  \--still there, or nothing is heard of it: looks again    each run,
-//	      |                                                            late ones too
-//	      +--keepFor--> dropped; nothing was shown
+//	      v      connection refused, or a newer instance is listed
+//	   [open] ------------------------------------------------------> [confirmed]: all runs
+//	      |  \--process present, or no answer: probed again            are reported, also
+//	      |                                                            those that join later
+//	      +--incidentRetention--> dropped without a finding
 //
-// A request whose caller leaves may crash its endpoint a moment later, which nobody sees who
-// runs nothing else there. Such requests are remembered for leftFor: they join a case that
-// opens in that time, and one is opened for them if the endpoint then refuses a connection
-// that is made for another request.
+// A request whose caller has gone may crash its endpoint a moment later, and no other run may
+// be there to break off. Such runs are remembered for abandonedRunPeriod. They join an incident
+// that opens within that time, and a connection refused to another request opens an incident
+// for them.
 //
-// The list of endpoints lags. A run that was sent after its life was known to have ended ran
-// in the next one, which isn't listed yet; when that breaks off, a case of its own is opened.
-// What other entries have told of such ends is counted too (Config.EndsOf).
+// The list of endpoints lags behind. A run that was sent after the instance's termination was
+// confirmed ran in the next instance, which isn't listed yet; if it breaks off, a new incident
+// replaces the confirmed one. Terminations reported by peers are counted too
+// (Config.CountTerminations).
 //
-// An end that was announced is none that a request brought about: runs at endpoints that
-// leave, or that are no longer listed, open no case.
+// An announced termination is not caused by a request: runs that break off at endpoints that
+// are leaving or no longer listed open no incident.
 package crashwatch
 
 import (
@@ -39,233 +40,237 @@
 )
 
 const (
-	// settle is the time before the first look: a process that ends closes its connections
-	// one after the other, and one that still looks open would count as a sign of life.
-	settle = 30 * time.Millisecond
-	// lookEvery is the time between two looks, which at most opens a connection each.
-	// maxLooks bounds them for a life, since connections are priced: where a process is
-	// there, one look shows it.
-	lookEvery = 250 * time.Millisecond
-	maxLooks  = 4
-	// keepFor is for how long a case is kept: by then the next life of an endpoint that
-	// started again at once has been listed (its record takes up to a heartbeat, some
-	// seconds), and each caller has been told of its broken run.
-	keepFor = 6 * time.Second
-	// maxCases bounds the cases that are open at once, as each looks at an endpoint. More
-	// lives than that break off together when a network fails, not by requests.
-	maxCases = 64
-	// maxRuns bounds the runs of a case, above the requests that one engine runs at once, and
-	// maxLeft the requests remembered whose callers have left.
-	maxRuns = 256
-	maxLeft = 1024
-	// leftFor is for how long a request may work on at an endpoint whose caller has left. It
-	// is told to stop by its closed connection, and half a second is what it is given for
-	// that.
-	leftFor = 500 * time.Millisecond
+	// firstProbeDelay is the time from a broken run to the first probe. A terminating process
+	// closes its connections one after the other, and a socket that is still open would count
+	// as a sign that the process is running.
+	firstProbeDelay = 30 * time.Millisecond
+	// probeInterval is the time between two probes, each of which opens at most one
+	// connection. maxProbes limits the probes per incident, since connections have a cost; if
+	// the process is present, one probe shows it.
+	probeInterval = 250 * time.Millisecond
+	maxProbes     = 4
+	// incidentRetention is how long an incident is kept. By then the next instance of an
+	// endpoint that restarted at once is listed (its record takes up to a heartbeat interval,
+	// some seconds), and every caller has received the failure of its broken run.
+	incidentRetention = 6 * time.Second
+	// maxIncidents limits the open incidents, as each one probes an endpoint. If more
+	// instances than that break off together, the network has failed, not the requests.
+	maxIncidents = 64
+	// maxRunsPerIncident exceeds the number of requests that one engine runs at once.
+	// maxAbandonedRuns limits the remembered runs whose callers have gone.
+	maxRunsPerIncident = 256
+	maxAbandonedRuns   = 1024
+	// abandonedRunPeriod is how long an endpoint may go on with a request whose caller has
+	// gone. The closed connection signals it to stop, for which it has half a second.
+	abandonedRunPeriod = 500 * time.Millisecond
 )
 
-// Run is one request that broke off.
+// Run is a run of a request that broke off, or whose caller has gone.
 type Run struct {
 	RequestID string
 	Identity  quarantine.Identity
-	// Sent is when it was sent to the endpoint, and At when it broke off.
-	Sent, At time.Time
+	// SentAt is when the request was sent to the endpoint. InterruptedAt is when the run broke
+	// off or its caller had gone.
+	SentAt, InterruptedAt time.Time
 }
 
-// End is the end of a life of an endpoint.
-type End struct {
-	At fleet.Endpoint
-	// Unlisted counts the lives since the listed one of the endpoint: they ended before the
-	// list told of them.
-	Unlisted int
+// Termination is the termination of an instance of an endpoint.
+type Termination struct {
+	Endpoint fleet.Endpoint
+	// UnlistedInstances counts the instances after the listed one that terminated before they
+	// were listed. Zero stands for the listed instance itself.
+	UnlistedInstances int
 }
 
-// Facts tells what an end says of the requests under which it came.
-func Facts(e End, under []Run) []quarantine.Fact {
-	mark := quarantine.TerminationID(e.At.Instance(), e.Unlisted)
-	out := make([]quarantine.Fact, 0, len(under))
-	for _, run := range under {
-		out = append(out, quarantine.Fact{Identity: run.Identity, EventID: mark, OccurredAt: run.At})
+// Facts returns the quarantine facts that a termination yields for the runs it interrupted.
+func Facts(termination Termination, runs []Run) []quarantine.Fact {
+	eventID := quarantine.TerminationID(termination.Endpoint.Instance(), termination.UnlistedInstances)
+	facts := make([]quarantine.Fact, 0, len(runs))
+	for _, run := range runs {
+		facts = append(facts, quarantine.Fact{Identity: run.Identity, EventID: eventID, OccurredAt: run.InterruptedAt})
 	}
-	return out
+	return facts
 }
 
-// Config holds the parts that a Watcher asks.
+// Config holds the dependencies of a Watcher.
 type Config struct {
-	// Look tells whether an endpoint's process is there.
-	Look func(context.Context, fleet.Endpoint) upstream.Presence
-	// Expected reports whether an endpoint's end is no surprise: it was known to leave, or
-	// is no longer listed.
-	Expected func(fleet.Endpoint) bool
-	// Over reports whether the list shows that an endpoint has ended: its next life, or
-	// another endpoint at its address.
-	Over func(fleet.Endpoint) bool
-	// EndsOf, if set, counts the ends that other entries have told of since a listed life, up
-	// to a time.
-	EndsOf func(listed fleet.Instance, until time.Time) int
-	// OnEnded is told of the runs under which a life ended. It may be called more than
-	// once for a life, with other runs.
-	OnEnded func(e End, under []Run)
+	// Probe checks whether a process listens at the endpoint's address.
+	Probe func(context.Context, fleet.Endpoint) upstream.Presence
+	// TerminationExpected reports whether the endpoint is leaving or no longer listed.
+	TerminationExpected func(fleet.Endpoint) bool
+	// Superseded reports whether the list shows that the instance has terminated: it contains
+	// the next instance, or another endpoint at the same address.
+	Superseded func(fleet.Endpoint) bool
+	// CountTerminations, if set, returns the number of terminations recorded for an endpoint
+	// from the listed instance on, up to a given time. They include those reported by peers.
+	CountTerminations func(listed fleet.Instance, until time.Time) int
+	// OnTermination is called with the runs that a termination interrupted. It may be called
+	// several times per termination, each time with other runs.
+	OnTermination func(termination Termination, runs []Run)
 }
 
-// Watcher keeps the cases. It is safe for concurrent use.
+// Watcher holds the open incidents. It is safe for concurrent use.
 type Watcher struct {
 	cfg Config
 
-	mu    sync.Mutex
-	cases map[fleet.Instance]*lifeCase
-	// left are the runs whose callers have left, in the order of their times.
-	left []leftRun
+	mu        sync.Mutex
+	incidents map[fleet.Instance]*incident
+	// abandoned holds the runs whose callers have gone, in order of InterruptedAt.
+	abandoned []abandonedRun
 }
 
-type leftRun struct {
+type abandonedRun struct {
 	Run
-	life fleet.Instance
+	instance fleet.Instance
 }
 
-// lifeCase holds the runs that broke off in one life of an endpoint.
-type lifeCase struct {
-	end  End
-	runs []Run
-	// ended is when the life was known to have ended; zero if it isn't.
-	ended time.Time
+// incident collects the runs that broke off or were abandoned in one instance of an endpoint.
+type incident struct {
+	termination Termination
+	runs        []Run
+	// confirmedAt is when the termination was confirmed, or zero.
+	confirmedAt time.Time
 }
 
-// New makes a watcher without cases.
-func New(cfg Config) *Watcher { return &Watcher{cfg: cfg, cases: map[fleet.Instance]*lifeCase{}} }
+// New returns a Watcher without incidents.
+func New(cfg Config) *Watcher { return &Watcher{cfg: cfg, incidents: map[fleet.Instance]*incident{}} }
 
-// Broken takes the news that a run broke off at an endpoint. It doesn't block.
-func (w *Watcher) Broken(ctx context.Context, at fleet.Endpoint, run Run) {
-	if w.cfg.Expected(at) {
+// RecordBrokenRun records that a run broke off at an endpoint. It doesn't block on probes.
+func (w *Watcher) RecordBrokenRun(ctx context.Context, endpoint fleet.Endpoint, run Run) {
+	if w.cfg.TerminationExpected(endpoint) {
 		return
 	}
-	if c, ended := w.join(ctx, at, run); ended {
-		w.cfg.OnEnded(c.end, []Run{run})
+	if inc, confirmed := w.addRun(ctx, endpoint, run); confirmed {
+		w.cfg.OnTermination(inc.termination, []Run{run})
 	}
 }
 
-// Left takes the news that the caller of a request left while it ran at an endpoint.
-func (w *Watcher) Left(at fleet.Endpoint, run Run) {
+// RecordAbandonedRun records that the caller of a request has gone while the request ran at an
+// endpoint.
+func (w *Watcher) RecordAbandonedRun(endpoint fleet.Endpoint, run Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	recent := slices.IndexFunc(w.left, func(l leftRun) bool { return clock.Since(l.At) < leftFor })
+	firstRecent := slices.IndexFunc(w.abandoned, func(run abandonedRun) bool { return clock.Since(run.InterruptedAt) < abandonedRunPeriod })
 	switch {
-	case recent < 0:
-		w.left = nil
-	case len(w.left)-recent >= maxLeft:
+	case firstRecent < 0:
+		w.abandoned = nil
+	case len(w.abandoned)-firstRecent >= maxAbandonedRuns:
 		return
 	default:
-		w.left = w.left[recent:]
+		w.abandoned = w.abandoned[firstRecent:]
 	}
-	w.left = append(w.left, leftRun{run, at.Instance()})
+	w.abandoned = append(w.abandoned, abandonedRun{run, endpoint.Instance()})
 }
 
-// Refused takes the news that an endpoint refused a connection.
-func (w *Watcher) Refused(ctx context.Context, at fleet.Endpoint) {
-	if w.cfg.Expected(at) {
+// RecordRefusedConnection records that an endpoint refused a connection. It opens an incident
+// if there is none and runs were abandoned there recently.
+func (w *Watcher) RecordRefusedConnection(ctx context.Context, endpoint fleet.Endpoint) {
+	if w.cfg.TerminationExpected(endpoint) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cases[at.Instance()] == nil && len(w.leftAt(at.Instance())) > 0 {
-		w.open(ctx, End{At: at})
+	if w.incidents[endpoint.Instance()] == nil && len(w.recentlyAbandoned(endpoint.Instance())) > 0 {
+		w.openIncident(ctx, Termination{Endpoint: endpoint})
 	}
 }
 
-// leftAt lists the runs whose callers left an endpoint lately. The caller holds the lock.
-func (w *Watcher) leftAt(life fleet.Instance) (out []Run) {
-	for _, l := range w.left {
-		if l.life == life && clock.Since(l.At) < leftFor {
-			out = append(out, l.Run)
+// recentlyAbandoned returns the runs abandoned at an instance within abandonedRunPeriod. The
+// caller holds the lock.
+func (w *Watcher) recentlyAbandoned(instance fleet.Instance) (runs []Run) {
+	for _, run := range w.abandoned {
+		if run.instance == instance && clock.Since(run.InterruptedAt) < abandonedRunPeriod {
+			runs = append(runs, run.Run)
 		}
 	}
-	return out
+	return runs
 }
 
-// open opens a case for an endpoint, unless there are too many. The caller holds the lock.
-func (w *Watcher) open(ctx context.Context, e End) *lifeCase {
-	if len(w.cases) >= maxCases {
+// openIncident opens an incident and starts probing. It returns nil if maxIncidents are open.
+// The caller holds the lock.
+func (w *Watcher) openIncident(ctx context.Context, termination Termination) *incident {
+	if len(w.incidents) >= maxIncidents {
 		return nil
 	}
-	c := &lifeCase{end: e}
-	if e.Unlisted == 0 {
-		c.runs = w.leftAt(e.At.Instance())
+	inc := &incident{termination: termination}
+	if termination.UnlistedInstances == 0 {
+		inc.runs = w.recentlyAbandoned(termination.Endpoint.Instance())
 	}
-	w.cases[e.At.Instance()] = c
-	go w.watch(ctx, c)
-	return c
+	w.incidents[termination.Endpoint.Instance()] = inc
+	go w.watch(ctx, inc)
+	return inc
 }
 
-// join adds a run to its case, which it opens if there is none, and reports whether the
-// life is known to have ended. The case is nil if there are too many.
-func (w *Watcher) join(ctx context.Context, at fleet.Endpoint, run Run) (c *lifeCase, ended bool) {
+// addRun adds a run to the incident of its instance, opening one if needed, and reports whether
+// the termination is confirmed. The incident is nil if maxIncidents are open.
+func (w *Watcher) addRun(ctx context.Context, endpoint fleet.Endpoint, run Run) (inc *incident, confirmed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c = w.cases[at.Instance()]
+	inc = w.incidents[endpoint.Instance()]
 	switch {
-	case c == nil:
-		c = w.open(ctx, End{At: at, Unlisted: w.endsOf(at, run)})
-	case !c.ended.IsZero() && run.Sent.After(c.ended):
-		next := End{At: at, Unlisted: max(c.end.Unlisted+1, w.endsOf(at, run))}
-		delete(w.cases, at.Instance())
-		c = w.open(ctx, next)
+	case inc == nil:
+		inc = w.openIncident(ctx, Termination{Endpoint: endpoint, UnlistedInstances: w.countTerminations(endpoint, run)})
+	case !inc.confirmedAt.IsZero() && run.SentAt.After(inc.confirmedAt):
+		next := Termination{Endpoint: endpoint, UnlistedInstances: max(inc.termination.UnlistedInstances+1, w.countTerminations(endpoint, run))}
+		delete(w.incidents, endpoint.Instance())
+		inc = w.openIncident(ctx, next)
 	}
-	if c == nil {
+	if inc == nil {
 		return nil, false
 	}
-	if len(c.runs) < maxRuns {
-		c.runs = append(c.runs, run)
+	if len(inc.runs) < maxRunsPerIncident {
+		inc.runs = append(inc.runs, run)
 	}
-	return c, !c.ended.IsZero()
+	return inc, !inc.confirmedAt.IsZero()
 }
 
-// endsOf counts the ends that others have told of before a run was sent.
-func (w *Watcher) endsOf(at fleet.Endpoint, run Run) int {
-	if w.cfg.EndsOf == nil {
+// countTerminations counts the terminations recorded before a run was sent.
+func (w *Watcher) countTerminations(endpoint fleet.Endpoint, run Run) int {
+	if w.cfg.CountTerminations == nil {
 		return 0
 	}
-	return w.cfg.EndsOf(at.Instance(), run.Sent)
+	return w.cfg.CountTerminations(endpoint.Instance(), run.SentAt)
 }
 
-// watch looks at the endpoint of a case until it is known to have ended, and drops the case
-// when nothing more is to be learnt.
-func (w *Watcher) watch(ctx context.Context, c *lifeCase) {
-	opened := clock.Now()
-	pause.For(ctx, settle)
-	for looks := 1; ctx.Err() == nil && clock.Since(opened) < keepFor; looks++ {
-		if !w.isEnded(c) && w.hasEnded(ctx, c.end.At, looks) {
-			w.settle(c)
+// watch checks the list and probes the endpoint of an incident, at most maxProbes times, until
+// the termination is confirmed. It drops the incident after incidentRetention.
+func (w *Watcher) watch(ctx context.Context, inc *incident) {
+	openedAt := clock.Now()
+	pause.For(ctx, firstProbeDelay)
+	for probes := 1; ctx.Err() == nil && clock.Since(openedAt) < incidentRetention; probes++ {
+		if !w.isConfirmed(inc) && w.hasTerminated(ctx, inc.termination.Endpoint, probes) {
+			w.confirm(inc)
 		}
-		pause.For(ctx, lookEvery)
+		pause.For(ctx, probeInterval)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cases[c.end.At.Instance()] == c {
-		delete(w.cases, c.end.At.Instance())
+	if w.incidents[inc.termination.Endpoint.Instance()] == inc {
+		delete(w.incidents, inc.termination.Endpoint.Instance())
 	}
 }
 
-// hasEnded reports whether the life is known to have ended unannounced, by the list or by a
-// look. Once a look has shown an end, the news that it was announced may have come: it can
-// be slower than the end.
-func (w *Watcher) hasEnded(ctx context.Context, at fleet.Endpoint, looks int) bool {
-	if w.cfg.Over(at) {
+// hasTerminated reports whether the list or a probe shows an unannounced termination.
+// TerminationExpected is checked again after the probe, as the announcement may arrive later
+// than the termination itself.
+func (w *Watcher) hasTerminated(ctx context.Context, endpoint fleet.Endpoint, probes int) bool {
+	if w.cfg.Superseded(endpoint) {
 		return true
 	}
-	return looks <= maxLooks && w.cfg.Look(ctx, at) == upstream.Ended && !w.cfg.Expected(at)
+	return probes <= maxProbes && w.cfg.Probe(ctx, endpoint) == upstream.Ended && !w.cfg.TerminationExpected(endpoint)
 }
 
-func (w *Watcher) isEnded(c *lifeCase) bool {
+func (w *Watcher) isConfirmed(inc *incident) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !c.ended.IsZero()
+	return !inc.confirmedAt.IsZero()
 }
 
-// settle tells of the runs of a life that has ended.
-func (w *Watcher) settle(c *lifeCase) {
+// confirm marks the termination of an incident as confirmed and reports its runs.
+func (w *Watcher) confirm(inc *incident) {
 	w.mu.Lock()
-	c.ended = clock.Now()
-	under := append([]Run(nil), c.runs...)
+	inc.confirmedAt = clock.Now()
+	runs := append([]Run(nil), inc.runs...)
 	w.mu.Unlock()
-	w.cfg.OnEnded(c.end, under)
+	w.cfg.OnTermination(inc.termination, runs)
 }
--- a/internal/crashwatch/crashwatch_test.go
+++ b/internal/crashwatch/crashwatch_test.go
@@ -16,44 +16,45 @@
 	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
 )
 
-// scene is an endpoint as a watcher sees it, and what the watcher told.
-type scene struct {
-	mu       sync.Mutex
-	presence upstream.Presence
-	expected bool
-	over     bool
-	looks    int
-	told     []string
+// fakeEndpoint fakes what a watcher observes of an endpoint, and records its probes and
+// reports.
+type fakeEndpoint struct {
+	mu         sync.Mutex
+	presence   upstream.Presence
+	expected   bool
+	superseded bool
+	probes     int
+	reported   []string
 }
 
-func (s *scene) look(context.Context, fleet.Endpoint) upstream.Presence {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.looks++
-	return s.presence
+func (f *fakeEndpoint) probe(context.Context, fleet.Endpoint) upstream.Presence {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.probes++
+	return f.presence
 }
 
-func (s *scene) set(change func(*scene)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	change(s)
+func (f *fakeEndpoint) update(change func(*fakeEndpoint)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change(f)
 }
 
-func (s *scene) watcher() *crashwatch.Watcher {
+func (f *fakeEndpoint) watcher() *crashwatch.Watcher {
 	read := func(b *bool) bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		return *b
 	}
 	return crashwatch.New(crashwatch.Config{
-		Look:     s.look,
-		Expected: func(fleet.Endpoint) bool { return read(&s.expected) },
-		Over:     func(fleet.Endpoint) bool { return read(&s.over) },
-		OnEnded: func(_ crashwatch.End, under []crashwatch.Run) {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			for _, run := range under {
-				s.told = append(s.told, run.RequestID)
+		Probe:               f.probe,
+		TerminationExpected: func(fleet.Endpoint) bool { return read(&f.expected) },
+		Superseded:          func(fleet.Endpoint) bool { return read(&f.superseded) },
+		OnTermination: func(_ crashwatch.Termination, runs []crashwatch.Run) {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			for _, run := range runs {
+				f.reported = append(f.reported, run.RequestID)
 			}
 		},
 	})
@@ -61,175 +62,180 @@
 
 var engine = fleet.Endpoint{ID: "engine-1", Address: "127.0.0.1:1", Incarnation: 7}
 
-// longest is longer than a case is kept.
-const longest = 10 * time.Second
+// longerThanRetention exceeds the time for which an incident is kept.
+const longerThanRetention = 10 * time.Second
 
-func TestCases(t *testing.T) {
+func TestIncidents(t *testing.T) {
 	cases := map[string]struct {
-		scene *scene
-		later func(*scene)
-		told  []string
+		endpoint *fakeEndpoint
+		later    func(*fakeEndpoint)
+		reported []string
 	}{
-		"the process is gone":                  {&scene{presence: upstream.Ended}, nil, []string{"r1", "r2", "late"}},
-		"it can't be seen, then it is gone":    {&scene{}, func(s *scene) { s.presence = upstream.Ended }, []string{"r1", "r2", "late"}},
-		"it started again at once":             {&scene{presence: upstream.Listening}, func(s *scene) { s.over = true }, []string{"r1", "r2", "late"}},
-		"only the connection broke":            {&scene{presence: upstream.Listening}, nil, nil},
-		"it is silent":                         {&scene{}, nil, nil},
-		"it was known to leave":                {&scene{presence: upstream.Ended, expected: true}, nil, nil},
-		"it left, and its next life came":      {&scene{expected: true}, func(s *scene) { s.expected, s.over = false, true }, []string{"late"}},
-		"it ends, and its leave is told later": {&scene{}, func(s *scene) { s.presence, s.expected = upstream.Ended, true }, nil},
+		"process terminated":                {&fakeEndpoint{presence: upstream.Ended}, nil, []string{"r1", "r2", "late"}},
+		"no answer, then terminated":        {&fakeEndpoint{}, func(f *fakeEndpoint) { f.presence = upstream.Ended }, []string{"r1", "r2", "late"}},
+		"restarted at once":                 {&fakeEndpoint{presence: upstream.Listening}, func(f *fakeEndpoint) { f.superseded = true }, []string{"r1", "r2", "late"}},
+		"only the connection broke":         {&fakeEndpoint{presence: upstream.Listening}, nil, nil},
+		"no answer":                         {&fakeEndpoint{}, nil, nil},
+		"known to be leaving":               {&fakeEndpoint{presence: upstream.Ended, expected: true}, nil, nil},
+		"left, then next instance listed":   {&fakeEndpoint{expected: true}, func(f *fakeEndpoint) { f.expected, f.superseded = false, true }, []string{"late"}},
+		"terminated, leave announced later": {&fakeEndpoint{}, func(f *fakeEndpoint) { f.presence, f.expected = upstream.Ended, true }, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				s := c.scene
-				w := s.watcher()
-				w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "r1"})
-				w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "r2"})
+				f := c.endpoint
+				w := f.watcher()
+				w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "r1"})
+				w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "r2"})
 				time.Sleep(100 * time.Millisecond)
 				if c.later != nil {
-					s.set(c.later)
+					f.update(c.later)
 				}
 				time.Sleep(time.Second)
-				w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "late"})
-				time.Sleep(longest)
+				w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "late"})
+				time.Sleep(longerThanRetention)
 				synctest.Wait()
-				g.Expect(s.told).To(Equal(c.told))
-				g.Expect(s.looks).To(BeNumerically("<=", 4), "looks are priced")
+				g.Expect(f.reported).To(Equal(c.reported))
+				g.Expect(f.probes).To(BeNumerically("<=", 4), "each probe has a cost")
 			})
 		})
 	}
 }
 
-// TestFactsOfALife: what two entries tell of the end of one life is the same, and that of
-// its next life is not.
-func TestFactsOfALife(t *testing.T) {
+// TestFactsIdentifyInstance checks that facts of two entries on the termination of one instance
+// have the same key, and those on the next instance another one.
+func TestFactsIdentifyInstance(t *testing.T) {
 	g := NewWithT(t)
-	at := time.Now()
-	run := crashwatch.Run{RequestID: "r1", Identity: quarantine.IdentityOf("w", "h", "/x", nil), At: at}
+	now := time.Now()
+	run := crashwatch.Run{RequestID: "r1", Identity: quarantine.IdentityOf("w", "h", "/x", nil), InterruptedAt: now}
 	key := func(e fleet.Endpoint, r crashwatch.Run) quarantine.Key {
-		return crashwatch.Facts(crashwatch.End{At: e}, []crashwatch.Run{r})[0].Key()
+		return crashwatch.Facts(crashwatch.Termination{Endpoint: e}, []crashwatch.Run{r})[0].Key()
 	}
 	later := run
-	later.RequestID, later.At = "r2", at.Add(time.Second)
+	later.RequestID, later.InterruptedAt = "r2", now.Add(time.Second)
 	g.Expect(key(engine, later)).To(Equal(key(engine, run)))
 	next := engine
 	next.Incarnation++
 	g.Expect(key(next, run)).NotTo(Equal(key(engine, run)))
 }
 
-// TestManyCases: when a network fails, what looks at endpoints is bounded.
-func TestManyCases(t *testing.T) {
+// TestProbedIncidentsAreBounded checks that the number of probed endpoints is limited when runs
+// break off at very many instances, as in a network failure.
+func TestProbedIncidentsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &scene{presence: upstream.Ended}
-		w := s.watcher()
+		f := &fakeEndpoint{presence: upstream.Ended}
+		w := f.watcher()
 		for i := range 500 {
 			e := engine
 			e.Incarnation = uint64(i)
-			w.Broken(t.Context(), e, crashwatch.Run{RequestID: "r"})
+			w.RecordBrokenRun(t.Context(), e, crashwatch.Run{RequestID: "r"})
 		}
-		time.Sleep(longest)
+		time.Sleep(longerThanRetention)
 		synctest.Wait()
-		g.Expect(s.looks).To(Equal(64))
-		w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "r"})
-		time.Sleep(longest)
+		g.Expect(f.probes).To(Equal(64))
+		w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "r"})
+		time.Sleep(longerThanRetention)
 		synctest.Wait()
-		g.Expect(s.looks).To(Equal(65), "cases that are over make room")
+		g.Expect(f.probes).To(Equal(65), "incidents that were dropped no longer count")
 	})
 }
 
-// TestCallersThatLeft: a request may end its endpoint just after its caller has left. It
-// counts if something else shows the end, and not if it left long before.
-func TestCallersThatLeft(t *testing.T) {
-	shows := map[string]func(*crashwatch.Watcher, context.Context){
+// TestAbandonedRuns checks that a request that terminates its endpoint just after its caller
+// has gone is reported once something else shows the termination, and that one abandoned long
+// before is not.
+func TestAbandonedRuns(t *testing.T) {
+	triggers := map[string]func(*crashwatch.Watcher, context.Context){
 		"another run breaks off": func(w *crashwatch.Watcher, ctx context.Context) {
-			w.Broken(ctx, engine, crashwatch.Run{RequestID: "other"})
+			w.RecordBrokenRun(ctx, engine, crashwatch.Run{RequestID: "other"})
 		},
-		"another request is refused a connection": func(w *crashwatch.Watcher, ctx context.Context) { w.Refused(ctx, engine) },
+		"another request is refused a connection": func(w *crashwatch.Watcher, ctx context.Context) { w.RecordRefusedConnection(ctx, engine) },
 	}
-	for name, show := range shows {
+	for name, trigger := range triggers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				s := &scene{presence: upstream.Ended}
-				w := s.watcher()
+				f := &fakeEndpoint{presence: upstream.Ended}
+				w := f.watcher()
 				for _, id := range []string{"long ago", "left"} {
-					w.Left(engine, crashwatch.Run{RequestID: id, At: time.Now()})
+					w.RecordAbandonedRun(engine, crashwatch.Run{RequestID: id, InterruptedAt: time.Now()})
 					time.Sleep(400 * time.Millisecond)
 				}
-				show(w, t.Context())
-				time.Sleep(longest)
+				trigger(w, t.Context())
+				time.Sleep(longerThanRetention)
 				synctest.Wait()
-				g.Expect(s.told).To(ContainElement("left"))
-				g.Expect(s.told).NotTo(ContainElement("long ago"))
+				g.Expect(f.reported).To(ContainElement("left"))
+				g.Expect(f.reported).NotTo(ContainElement("long ago"))
 			})
 		})
 	}
 }
 
-// TestRefusedConnectionsAlone open no case: nothing ran there.
-func TestRefusedConnectionsAlone(t *testing.T) {
+// TestRefusedConnectionWithoutRuns checks that a refused connection alone opens no incident.
+func TestRefusedConnectionWithoutRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &scene{presence: upstream.Ended}
-		w := s.watcher()
-		w.Refused(t.Context(), engine)
-		time.Sleep(longest)
+		f := &fakeEndpoint{presence: upstream.Ended}
+		w := f.watcher()
+		w.RecordRefusedConnection(t.Context(), engine)
+		time.Sleep(longerThanRetention)
 		synctest.Wait()
-		g.Expect(s.looks).To(BeZero())
+		g.Expect(f.probes).To(BeZero())
 	})
 }
 
-// TestLivesThatTheListNeverShows: an endpoint starts again and ends before the list tells of
-// it. Each end counts; runs that were sent before an end was known count for that one.
-func TestLivesThatTheListNeverShows(t *testing.T) {
+// TestUnlistedInstances checks an endpoint that restarts and terminates again before the list
+// shows the restart: each termination counts separately, and a run sent before a termination
+// was confirmed counts for that termination.
+func TestUnlistedInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		marks := map[uint64][]string{}
+		terminations := map[uint64][]string{}
 		w := crashwatch.New(crashwatch.Config{
-			Look:     func(context.Context, fleet.Endpoint) upstream.Presence { return upstream.Ended },
-			Expected: func(fleet.Endpoint) bool { return false },
-			Over:     func(fleet.Endpoint) bool { return false },
-			OnEnded: func(e crashwatch.End, under []crashwatch.Run) {
-				for _, f := range crashwatch.Facts(e, under) {
-					marks[f.EventID] = append(marks[f.EventID], fmt.Sprint(e.Unlisted))
+			Probe:               func(context.Context, fleet.Endpoint) upstream.Presence { return upstream.Ended },
+			TerminationExpected: func(fleet.Endpoint) bool { return false },
+			Superseded:          func(fleet.Endpoint) bool { return false },
+			OnTermination: func(termination crashwatch.Termination, runs []crashwatch.Run) {
+				for _, f := range crashwatch.Facts(termination, runs) {
+					terminations[f.EventID] = append(terminations[f.EventID], fmt.Sprint(termination.UnlistedInstances))
 				}
 			},
 		})
 		for range 3 {
-			sent := time.Now()
+			sentAt := time.Now()
 			time.Sleep(100 * time.Millisecond)
-			w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "crash", Sent: sent, At: time.Now()})
+			w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "crash", SentAt: sentAt, InterruptedAt: time.Now()})
 			time.Sleep(50 * time.Millisecond)
 			synctest.Wait()
-			w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "beside", Sent: sent, At: time.Now()})
+			w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "beside", SentAt: sentAt, InterruptedAt: time.Now()})
 			time.Sleep(300 * time.Millisecond)
 			synctest.Wait()
 		}
-		g.Expect(marks).To(HaveLen(3))
-		g.Expect(marks).To(ConsistOf([]string{"0", "0"}, []string{"1", "1"}, []string{"2", "2"}))
+		g.Expect(terminations).To(HaveLen(3))
+		g.Expect(terminations).To(ConsistOf([]string{"0", "0"}, []string{"1", "1"}, []string{"2", "2"}))
 	})
 }
 
-// TestEndsThatOthersToldOf: the end that is seen after them is another one, also for who has
-// seen none of them.
-func TestEndsThatOthersToldOf(t *testing.T) {
+// TestTerminationsReportedByPeers checks that a termination observed after those reported by
+// peers counts as a further one, also at an entry that observed none of them.
+func TestTerminationsReportedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &scene{presence: upstream.Ended}
-		var ended []int
+		f := &fakeEndpoint{presence: upstream.Ended}
+		var unlisted []int
 		w := crashwatch.New(crashwatch.Config{
-			Look:     s.look,
-			Expected: func(fleet.Endpoint) bool { return false },
-			Over:     func(fleet.Endpoint) bool { return false },
-			EndsOf:   func(fleet.Instance, time.Time) int { return 2 },
-			OnEnded:  func(e crashwatch.End, _ []crashwatch.Run) { ended = append(ended, e.Unlisted) },
+			Probe:               f.probe,
+			TerminationExpected: func(fleet.Endpoint) bool { return false },
+			Superseded:          func(fleet.Endpoint) bool { return false },
+			CountTerminations:   func(fleet.Instance, time.Time) int { return 2 },
+			OnTermination: func(termination crashwatch.Termination, _ []crashwatch.Run) {
+				unlisted = append(unlisted, termination.UnlistedInstances)
+			},
 		})
-		w.Broken(t.Context(), engine, crashwatch.Run{RequestID: "r1", Sent: time.Now()})
-		time.Sleep(longest)
+		w.RecordBrokenRun(t.Context(), engine, crashwatch.Run{RequestID: "r1", SentAt: time.Now()})
+		time.Sleep(longerThanRetention)
 		synctest.Wait()
-		g.Expect(ended).To(Equal([]int{2}))
+		g.Expect(unlisted).To(Equal([]int{2}))
 	})
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -14,13 +14,13 @@
 
 // makeGuard makes what keeps requests that crash what runs them from endpoints.
 func (e *Entry) makeGuard() {
-	e.beliefs.Guard().OnNews(func(c []contain.Change) { contain.LogChanges(e.log, c) }, e.kick)
+	e.beliefs.Guard().OnNewFacts(func(c []contain.Change) { contain.LogChanges(e.log, c) }, e.kick)
 	e.crashes = crashwatch.New(crashwatch.Config{
-		Look:     upstream.LookAt,
-		Expected: e.endExpected,
-		Over:     e.superseded,
-		EndsOf:   e.beliefs.Guard().EndsOf,
-		OnEnded:  e.onEnded,
+		Probe:               upstream.LookAt,
+		TerminationExpected: e.endExpected,
+		Superseded:          e.superseded,
+		CountTerminations:   e.beliefs.Guard().CountTerminations,
+		OnTermination:       e.onEnded,
 	})
 }
 
@@ -48,12 +48,12 @@
 
 // onBroken takes the news that a request broke off at an endpoint.
 func (e *Entry) onBroken(j *job.Job, at fleet.Endpoint, sent time.Time) {
-	e.crashes.Broken(context.Background(), at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), Sent: sent, At: clock.Now()})
+	e.crashes.RecordBrokenRun(context.Background(), at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), SentAt: sent, InterruptedAt: clock.Now()})
 }
 
 // onEnded holds it against requests that an endpoint ended unannounced while they ran there.
-func (e *Entry) onEnded(end crashwatch.End, under []crashwatch.Run) {
+func (e *Entry) onEnded(end crashwatch.Termination, under []crashwatch.Run) {
 	e.metrics.EndedUnder.Add(float64(len(under)))
-	e.log.Warn("endpoint ended under requests", "endpoint", end.At.ID, "incarnation", end.At.Incarnation, "requests", len(under))
-	e.beliefs.Guard().Ended(end, under)
+	e.log.Warn("endpoint ended under requests", "endpoint", end.Endpoint.ID, "incarnation", end.Endpoint.Incarnation, "requests", len(under))
+	e.beliefs.Guard().RecordTermination(end, under)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -136,7 +136,7 @@
 			OnFailure:    e.metrics.ObserveFailure,
 			OnStep:       e.metrics.ObserveStep,
 			OnBroken:     e.onBroken,
-			OnWhole:      func(j *job.Job) { e.beliefs.Guard().Whole(j.Identity) },
+			OnWhole:      func(j *job.Job) { e.beliefs.Guard().RecordCompletion(j.Identity) },
 		}),
 		Begin: func(j *job.Job) (func(), *outcome.Error) { return e.beliefs.Guard().Begin(j.Identity) },
 		OnLeave: func(id string, incarnation uint64) {
--- a/internal/evacuate/evacuate.go
+++ b/internal/evacuate/evacuate.go
@@ -1,17 +1,16 @@
-// Package evacuate moves the running generations of this entry away from engines
-// that are about to end. What goes where and when is decided by package
-// evacuation; this package reads the engine's own list of runs, makes the calls
-// and tells the streams.
+// Package evacuate moves this entry's running generations away from engines that are about to
+// terminate. Package evacuation plans which generation goes where and when; this package
+// fetches the engines' own lists of runs, makes the calls and switches the streams over.
 //
-//	[notice] --5 ms--> [group] --reports--> [plan] --moves--> [look again]
+//	[notice] --5 ms--> [group] --reports--> [plan] --moves--> [next pass]
 //	                                          ^                  |  |
-//	                                          +--runs are left---+  +--none--> done
+//	                                          +--runs remain-----+  +--none--> done
 //
-// groups.go gathers the engines that leave together, input.go describes them to
-// package evacuation, move.go moves one generation.
+// groups.go groups the engines that leave together, input.go builds the input of package
+// evacuation, and move.go moves one generation.
 //
-// All of it is kept by the lives of engines: one that starts again under its id has none of
-// the generations, isn't leaving, and knows of no copy.
+// All state is kept per instance of an engine: an engine that restarts under the same id has
+// none of the generations, isn't leaving, and holds no copies.
 package evacuate
 
 import (
@@ -34,60 +33,61 @@
 )
 
 const (
-	// maxNews is the highest age at which a notice is news.
-	maxNews = time.Second
-	// passPause is the wait before an engine is looked at again that something could
-	// not be moved off: a target may have room by then.
-	passPause = 150 * time.Millisecond
-	// leavingFor is for how long an engine that was told to end may live; some take
-	// many seconds (PROTOCOL, service discovery).
-	leavingFor = 30 * time.Second
+	// maxNoticeAge is the greatest age of a notice from which plans may start.
+	maxNoticeAge = time.Second
+	// passInterval is the wait before another pass over engines with generations that could
+	// not be moved. A target may have room by then.
+	passInterval = 150 * time.Millisecond
+	// maxLeavingTime is how long an engine may run on after it is asked to terminate; some
+	// take many seconds (PROTOCOL, service discovery).
+	maxLeavingTime = 30 * time.Second
 )
 
-// Config holds the settings of an Evacuator.
+// Config holds the dependencies and settings of an Evacuator.
 type Config struct {
 	Forwarder  *relay.Forwarder
-	Engines    engines.Caller
+	Engines    engines.Client
 	Dispatcher *dispatch.Dispatcher
-	// Service returns what the table says of a target.
+	// Service returns the table's settings of a target.
 	Service func(target string) (table.Service, bool)
-	// Endpoint finds an endpoint in force by its id.
+	// Endpoint returns the listed endpoint with the given id.
 	Endpoint func(id string) (fleet.Endpoint, bool)
-	// Over reports whether an endpoint is known to have started again since.
-	Over func(fleet.Instance) bool
-	// Admit reports whether an engine takes one more generation from this entry now, and
-	// counts it if so.
+	// InstanceEnded reports whether the endpoint is known to have restarted since.
+	InstanceEnded func(fleet.Instance) bool
+	// Admit reports whether the engine accepts one more generation from this entry now, and if
+	// so counts it.
 	Admit func(fleet.Instance) bool
-	// PausedFor is for how much longer an engine wants nothing from this entry.
-	PausedFor func(fleet.Instance) time.Duration
-	Log       *log.Logger
-	// Off switches parts off, to measure what they are worth.
-	Off Off
-	// OnMove is told the result of each move, for metrics.
+	// PauseRemaining returns for how much longer the engine accepts nothing from this entry.
+	PauseRemaining func(fleet.Instance) time.Duration
+	Log            *log.Logger
+	// Disabled disables features, to measure their effect.
+	Disabled DisabledFeatures
+	// OnMove is called with the result of each move, for metrics.
 	OnMove func(result string)
 }
 
-// Off are the parts that are switched off.
-type Off struct {
-	// Moves leaves generations where they are.
+// DisabledFeatures selects the features to disable.
+type DisabledFeatures struct {
+	// Moves disables moves: generations stay where they are.
 	Moves bool
-	// CopyRefresh stops a generation after its first copy, whether or not the link is
-	// free.
+	// CopyRefresh disables refreshing: a generation stops after its first copy, even if the
+	// link is busy.
 	CopyRefresh bool
-	// CopySlack plans copies one right after the other.
+	// CopySlack disables the slack between copies: each is planned right after the previous
+	// one.
 	CopySlack bool
-	// GroupPlans plans for each engine alone.
+	// GroupPlans disables joint plans: each engine is planned for alone.
 	GroupPlans bool
 }
 
 // Results of moves, for metrics.
 const (
-	ResultMoved   = "moved"
-	ResultEnded   = "ended"
-	ResultNoRoom  = "no_room"
-	ResultFailed  = "failed"
-	ResultReturn  = "stayed"
-	ResultTooLate = "too_late"
+	ResultMoved    = "moved"
+	ResultEnded    = "ended"
+	ResultNoRoom   = "no_room"
+	ResultFailed   = "failed"
+	ResultReturned = "stayed"
+	ResultTooLate  = "too_late"
 )
 
 // Evacuator moves generations. It is safe for concurrent use.
@@ -97,126 +97,126 @@
 	mu sync.Mutex
 	// active holds the engines that are being evacuated.
 	active map[fleet.Instance]bool
-	// leaving holds the engines that are about to end, with the time of the notice. It is
-	// that of one life: the next one stays.
+	// leaving holds the engines that are about to terminate, with the time of the notice. It
+	// is keyed by instance, since the notice doesn't apply to the next instance.
 	leaving map[fleet.Instance]time.Time
-	// groups gather the engines whose notices come together.
+	// groups holds the groups that are still open to further leaving engines.
 	groups map[groupKey][]fleet.Endpoint
 }
 
-// New makes an evacuator.
+// New returns an Evacuator.
 func New(cfg Config) *Evacuator {
 	return &Evacuator{cfg: cfg, active: map[fleet.Instance]bool{}, leaving: map[fleet.Instance]time.Time{}, groups: map[groupKey][]fleet.Endpoint{}}
 }
 
-// Leaving starts the evacuation of an engine, unless it is under way. It doesn't
-// wait for it. Plans of different entries fit together only if their times count
-// from the same moment, so noticed is when the first entry had the notice.
-func (e *Evacuator) Leaving(ctx context.Context, source fleet.Endpoint, noticed time.Time) {
+// EngineLeaving starts the evacuation of an engine in the background, unless it is in progress.
+// noticedAt is when the first entry received the notice: the plans of different entries fit
+// together only if their times count from the same moment.
+func (e *Evacuator) EngineLeaving(ctx context.Context, source fleet.Endpoint, noticedAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if source.Type != fleet.Engine {
 		return
 	}
-	e.forget()
+	e.expireLeaving()
 	if _, known := e.leaving[source.Instance()]; !known {
-		e.leaving[source.Instance()] = noticed
+		e.leaving[source.Instance()] = noticedAt
 	}
-	e.join(ctx, source)
+	e.addToGroup(ctx, source)
 }
 
-// Begun tells that a generation has begun at an engine. One that was sent there
-// before the engine was known to leave is moved now that it runs.
-func (e *Evacuator) Begun(ctx context.Context, source fleet.Endpoint) {
+// GenerationStarted records that a generation has started at an engine. If the request was sent
+// there before the engine was known to be leaving, the generation is moved now that it runs.
+func (e *Evacuator) GenerationStarted(ctx context.Context, source fleet.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, leaving := e.leaving[source.Instance()]; leaving {
-		e.join(ctx, source)
+		e.addToGroup(ctx, source)
 	}
 }
 
-// run looks at the engines until none of this entry's generations runs there: they
-// were moved, or the engines have ended and their streams with them.
-func (e *Evacuator) run(ctx context.Context, group []fleet.Endpoint) {
-	begun := e.noticed(group)
-	end := clock.Now().Add(leavingFor)
-	for clock.Now().Before(end) {
-		if !e.pass(ctx, group, begun) || !pause.For(ctx, passPause) {
+// runPasses repeats passes until none of this entry's generations runs at the engines: either
+// they were moved, or the engines have terminated and the streams have ended.
+func (e *Evacuator) runPasses(ctx context.Context, group []fleet.Endpoint) {
+	planStart := e.earliestNotice(group)
+	deadline := clock.Now().Add(maxLeavingTime)
+	for clock.Now().Before(deadline) {
+		if !e.pass(ctx, group, planStart) || !pause.For(ctx, passInterval) {
 			return
 		}
-		begun = clock.Now()
+		planStart = clock.Now()
 	}
 }
 
-// noticed returns when the first entry had the notice of a group. Times beyond
-// maxNews are not believed: a plan from then is no use to anybody.
-func (e *Evacuator) noticed(group []fleet.Endpoint) time.Time {
+// earliestNotice returns when the first entry received the notice of a group. Times older than
+// maxNoticeAge are ignored, as a plan that starts then is of no use.
+func (e *Evacuator) earliestNotice(group []fleet.Endpoint) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
-	first := now
+	earliest := now
 	for _, source := range group {
-		if at := e.leaving[source.Instance()]; at.Before(first) && now.Sub(at) <= maxNews {
-			first = at
+		if noticedAt := e.leaving[source.Instance()]; noticedAt.Before(earliest) && now.Sub(noticedAt) <= maxNoticeAge {
+			earliest = noticedAt
 		}
 	}
-	return first
+	return earliest
 }
 
-// begun lists the generations of this entry that run at an engine. Those whose
-// prompt is still being read can't be moved, and those of a life that is over are gone.
-func (e *Evacuator) begun(source fleet.Endpoint) map[string]*relay.Session {
-	out := map[string]*relay.Session{}
-	if e.cfg.Over(source.Instance()) {
-		return out
+// startedSessions returns this entry's generations that run at an engine, by request ID. Those
+// still in prefill can't be moved, and those of a terminated instance are lost.
+func (e *Evacuator) startedSessions(source fleet.Endpoint) map[string]*relay.Session {
+	started := map[string]*relay.Session{}
+	if e.cfg.InstanceEnded(source.Instance()) {
+		return started
 	}
 	for _, s := range e.cfg.Forwarder.SessionsAt(source.Instance()) {
 		if s.Begun() {
-			out[s.RequestID()] = s
+			started[s.RequestID()] = s
 		}
 	}
-	return out
+	return started
 }
 
-// pass moves what is there, by a plan whose times count from begun; it returns
-// false if there was nothing, or if the context has ended.
-func (e *Evacuator) pass(ctx context.Context, group []fleet.Endpoint, begun time.Time) bool {
-	mine := map[string]*relay.Session{}
+// pass moves the generations that run at a group of engines, by a plan whose times count from
+// planStart. It returns false if there are none, or if the context has ended.
+func (e *Evacuator) pass(ctx context.Context, group []fleet.Endpoint, planStart time.Time) bool {
+	sessions := map[string]*relay.Session{}
 	for _, source := range group {
-		maps.Copy(mine, e.begun(source))
+		maps.Copy(sessions, e.startedSessions(source))
 	}
-	if len(mine) == 0 {
+	if len(sessions) == 0 {
 		return false
 	}
-	if group = e.askable(group); len(group) == 0 {
+	if group = e.withoutPaused(group); len(group) == 0 {
 		return true
 	}
-	in := e.input(ctx, group, mine)
+	in := e.planInput(ctx, group, sessions)
 	steps := evacuation.Plan(in)
 	e.logPlan(in, steps)
 	var moves sync.WaitGroup
 	for _, source := range group {
-		moves.Go(func() { e.follow(ctx, source, steps, mine, begun) })
+		moves.Go(func() { e.runSteps(ctx, source, steps, sessions, planStart) })
 	}
 	moves.Wait()
 	return ctx.Err() == nil
 }
 
-// askable leaves out the engines that want nothing at present: they can't be asked for
-// copies. A later pass looks again.
-func (e *Evacuator) askable(group []fleet.Endpoint) []fleet.Endpoint {
-	return slices.DeleteFunc(slices.Clone(group), func(source fleet.Endpoint) bool { return e.cfg.PausedFor(source.Instance()) > 0 })
+// withoutPaused returns the engines that aren't paused. Paused ones can't be asked for copies;
+// a later pass checks them again.
+func (e *Evacuator) withoutPaused(group []fleet.Endpoint) []fleet.Endpoint {
+	return slices.DeleteFunc(slices.Clone(group), func(source fleet.Endpoint) bool { return e.cfg.PauseRemaining(source.Instance()) > 0 })
 }
 
-// follow takes the steps of one engine, one after the other.
-func (e *Evacuator) follow(ctx context.Context, source fleet.Endpoint, steps []evacuation.Step, mine map[string]*relay.Session, begun time.Time) {
+// runSteps executes the steps of one engine one after the other.
+func (e *Evacuator) runSteps(ctx context.Context, source fleet.Endpoint, steps []evacuation.Step, sessions map[string]*relay.Session, planStart time.Time) {
 	for _, step := range steps {
 		if step.Source != source.ID {
 			continue
 		}
-		if !pause.For(ctx, clock.Until(begun.Add(step.Start))) {
+		if !pause.For(ctx, clock.Until(planStart.Add(step.Start))) {
 			return
 		}
-		e.cfg.OnMove(e.move(ctx, mine[step.RequestID], source, step.Target))
+		e.cfg.OnMove(e.move(ctx, sessions[step.RequestID], source, step.Target))
 	}
 }
--- a/internal/evacuate/input.go
+++ b/internal/evacuate/input.go
@@ -16,64 +16,65 @@
 )
 
 const (
-	// reportTimeout is for the list of runs: without it the plan is made of what
-	// this entry knows.
+	// reportTimeout limits the fetch of a list of runs. Without the list, the plan covers only
+	// this entry's own runs.
 	reportTimeout = 300 * time.Millisecond
-	// reportAge is how old a report is when it is read: what engines said of the time
-	// that they had left was half a second more than they lived.
-	reportAge = 500 * time.Millisecond
-	// growth is the horizon, by index, at which a target needs to have room: some
-	// seconds of decoding.
-	growth = 1
-	// usableShare is the share of a target's memory that copies may fill; the rest
-	// is for the growth of what runs there.
-	usableShare = 0.9
-	// overhead is what moving one generation takes besides the copy of its memory: the
-	// difference of handoffs' times and their bytes over the link's rate.
-	overhead = 20 * time.Millisecond
-	// farFactor is by how much longer a copy to another data centre takes
+	// reportDelay is the age of a report when it is received: the remaining times in engines'
+	// reports were half a second longer than the engines ran on.
+	reportDelay = 500 * time.Millisecond
+	// projectionIndex is the index of the memory projection in which a target must have room.
+	// Its horizon is some seconds of decoding.
+	projectionIndex = 1
+	// maxUtilization is the share of a target's memory that copies may fill. The rest is
+	// reserved for the growth of the runs there.
+	maxUtilization = 0.9
+	// moveOverhead is the time of a move besides the copy of the memory: the difference
+	// between the time of a handoff and its bytes divided by the link rate.
+	moveOverhead = 20 * time.Millisecond
+	// crossDataCenterFactor is how many times longer a copy to another data centre takes
 	// (PROTOCOL, model servers).
-	farFactor   = 2
-	bitsPerByte = 8
+	crossDataCenterFactor = 2
+	bitsPerByte           = 8
 )
 
-// input asks the engines for their runs, all at the same time.
-func (e *Evacuator) input(ctx context.Context, group []fleet.Endpoint, mine map[string]*relay.Session) evacuation.Input {
-	in := evacuation.Input{Sources: make([]evacuation.Source, len(group)), Targets: e.targets(group), DisableSlack: e.cfg.Off.CopySlack}
+// planInput builds the input of a plan, with reports that are fetched from all engines
+// concurrently.
+func (e *Evacuator) planInput(ctx context.Context, group []fleet.Endpoint, sessions map[string]*relay.Session) evacuation.Input {
+	in := evacuation.Input{Sources: make([]evacuation.Source, len(group)), Targets: e.planTargets(group), DisableSlack: e.cfg.Disabled.CopySlack}
 	var reports sync.WaitGroup
 	for i, source := range group {
 		service, ok := e.cfg.Service(source.Targets[0])
 		if !ok || service.Engine == nil {
 			continue
 		}
-		in.Link = link(service.Engine)
-		reports.Go(func() { in.Sources[i] = e.source(ctx, source, service.Engine, mine) })
+		in.Link = engineLink(service.Engine)
+		reports.Go(func() { in.Sources[i] = e.planSource(ctx, source, service.Engine, sessions) })
 	}
 	reports.Wait()
 	return in
 }
 
-// source describes a leaving engine.
-func (e *Evacuator) source(ctx context.Context, at fleet.Endpoint, engine *table.Engine, mine map[string]*relay.Session) evacuation.Source {
-	report, err := e.report(ctx, at)
+// planSource describes a leaving engine to the planner.
+func (e *Evacuator) planSource(ctx context.Context, endpoint fleet.Endpoint, engine *table.Engine, sessions map[string]*relay.Session) evacuation.Source {
+	report, err := e.fetchReport(ctx, endpoint)
 	if err != nil {
-		e.cfg.Log.Warn("no list of runs, the plan is made of the own ones", "endpoint", at.ID, "error", err)
+		e.cfg.Log.Warn("fetching the list of runs failed; planning with local runs only", "endpoint", endpoint.ID, "error", err)
 	}
 	return evacuation.Source{
-		ID:         at.ID,
-		DataCenter: at.DataCenter,
-		Runs:       runs(report, mine, at.ID, engine.TokensPerEvent),
-		Remaining:  left(report),
+		ID:         endpoint.ID,
+		DataCenter: endpoint.DataCenter,
+		Runs:       mergeRuns(report, sessions, endpoint.ID, engine.TokensPerEvent),
+		Remaining:  remainingTime(report),
 	}
 }
 
-// logPlan logs what is known of each leaving engine and how much of it is moved.
+// logPlan logs the runs of each leaving engine and the number of planned moves.
 func (e *Evacuator) logPlan(in evacuation.Input, steps []evacuation.Step) {
 	for _, source := range in.Sources {
-		mine, planned := 0, 0
+		local, planned := 0, 0
 		for _, r := range source.Runs {
 			if r.Local {
-				mine++
+				local++
 			}
 		}
 		for _, s := range steps {
@@ -81,80 +82,82 @@
 				planned++
 			}
 		}
-		e.cfg.Log.Info("evacuation", "endpoint", source.ID, "mine", mine, "runs", len(source.Runs),
+		e.cfg.Log.Info("evacuation", "endpoint", source.ID, "mine", local, "runs", len(source.Runs),
 			"targets", len(in.Targets), "steps", planned, "left_ms", source.Remaining.Milliseconds())
 	}
 }
 
-func (e *Evacuator) report(ctx context.Context, source fleet.Endpoint) (engines.Report, error) {
+func (e *Evacuator) fetchReport(ctx context.Context, source fleet.Endpoint) (engines.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := e.cfg.Engines.Report(ctx, source)
 	if err != nil {
 		return engines.Report{}, err
 	}
-	if report.IncarnationAt(source) != source.Incarnation {
+	if report.EffectiveIncarnation(source) != source.Incarnation {
 		return engines.Report{}, fleet.InstanceEndedError{Instance: source.Instance()}
 	}
 	return report, nil
 }
 
-// runs joins an engine's list with the streams that it doesn't show yet.
-func runs(report engines.Report, mine map[string]*relay.Session, at string, perEvent int) []evacuation.Run {
-	var out []evacuation.Run
+// mergeRuns combines an engine's list of runs with this entry's sessions there that the list
+// doesn't contain yet.
+func mergeRuns(report engines.Report, sessions map[string]*relay.Session, endpointID string, tokensPerEvent int) []evacuation.Run {
+	var merged []evacuation.Run
 	listed := map[string]bool{}
 	for _, r := range report.Runs {
 		listed[r.RequestID] = true
-		made := min(r.Events*perEvent, r.Tokens)
-		out = append(out, evacuation.Run{RequestID: r.RequestID, Tokens: r.Tokens, OutputTokens: made, Local: mine[r.RequestID] != nil})
+		outputTokens := min(r.Events*tokensPerEvent, r.Tokens)
+		merged = append(merged, evacuation.Run{RequestID: r.RequestID, Tokens: r.Tokens, OutputTokens: outputTokens, Local: sessions[r.RequestID] != nil})
 	}
-	for id, s := range mine {
-		if !listed[id] && s.Endpoint().ID == at {
-			out = append(out, evacuation.Run{RequestID: id, Tokens: s.Tokens(perEvent), Local: true, Unlisted: true})
+	for id, s := range sessions {
+		if !listed[id] && s.Endpoint().ID == endpointID {
+			merged = append(merged, evacuation.Run{RequestID: id, Tokens: s.Tokens(tokensPerEvent), Local: true, Unlisted: true})
 		}
 	}
-	return out
+	return merged
 }
 
-// left corrects the time that an engine still has by the age of its report.
-func left(r engines.Report) time.Duration {
+// remainingTime returns the time until the engine terminates, corrected by the age of the
+// report, or zero if the engine didn't report it.
+func remainingTime(r engines.Report) time.Duration {
 	if r.LeavesIn == 0 {
 		return 0
 	}
-	return max(r.LeavesIn-reportAge, time.Millisecond)
+	return max(r.LeavesIn-reportDelay, time.Millisecond)
 }
 
-func link(engine *table.Engine) evacuation.Link {
+func engineLink(engine *table.Engine) evacuation.Link {
 	return evacuation.Link{
 		BytesPerToken:         engine.KVBytesPerToken,
 		BytesPerSecond:        engine.LinkBitsPerSecond / bitsPerByte,
-		Overhead:              overhead,
-		CrossDataCenterFactor: farFactor,
+		Overhead:              moveOverhead,
+		CrossDataCenterFactor: crossDataCenterFactor,
 	}
 }
 
-// targets lists the engines that may take generations of a group. They are of the same region,
-// which every request that runs there may go to.
-func (e *Evacuator) targets(group []fleet.Endpoint) []evacuation.Target {
-	var out []evacuation.Target
+// planTargets returns the engines that may take generations of a group. They are in the same
+// region, which is allowed for every request that runs in the group.
+func (e *Evacuator) planTargets(group []fleet.Endpoint) []evacuation.Target {
+	var targets []evacuation.Target
 	e.cfg.Dispatcher.View(func(now time.Time, p scheduler.Policy) {
 		s, ok := p.(*scheduler.Scheduler)
 		if !ok {
 			return
 		}
-		for _, st := range s.Status(now) {
-			at, known := e.cfg.Endpoint(st.ID)
-			if !known || st.Leaving || st.Throttled || st.Breaker != retry.Closed || at.Targets[0] != group[0].Targets[0] || at.Region != group[0].Region || contains(group, st.ID) {
+		for _, status := range s.Status(now) {
+			endpoint, ok := e.cfg.Endpoint(status.ID)
+			if !ok || status.Leaving || status.Throttled || status.Breaker != retry.Closed || endpoint.Targets[0] != group[0].Targets[0] || endpoint.Region != group[0].Region || contains(group, status.ID) {
 				continue
 			}
-			out = append(out, evacuation.Target{
-				ID:         st.ID,
-				DataCenter: at.DataCenter,
-				FreeTokens: int(usableShare*float64(st.CapacityTokens)) - int(st.Projected[growth]) - st.UnattributedTokens,
+			targets = append(targets, evacuation.Target{
+				ID:         status.ID,
+				DataCenter: endpoint.DataCenter,
+				FreeTokens: int(maxUtilization*float64(status.CapacityTokens)) - int(status.Projected[projectionIndex]) - status.UnattributedTokens,
 			})
 		}
 	})
-	return out
+	return targets
 }
 
 func contains(group []fleet.Endpoint, id string) bool {
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -205,7 +205,7 @@
 	}
 	for _, e := range before.Endpoints {
 		if _, listed := now.Endpoint(e.ID); !listed {
-			g.evacuator.Leaving(g.work, e, g.noticed)
+			g.evacuator.EngineLeaving(g.work, e, g.noticed)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	}
 	// A leave of a life that isn't listed yet takes nothing off the one that is.
 	if e, ok := g.endpoint(l.Endpoint); ok && e.Instance() == fleet.Instance(l) {
-		g.evacuator.Leaving(g.work, e, noticed)
+		g.evacuator.EngineLeaving(g.work, e, noticed)
 	}
 	if g.caughtUp.Load() {
 		g.exchange.Kick()
@@ -263,7 +263,7 @@
 	}
 	return scheduler.Report{
 		Endpoint:       e.ID,
-		Incarnation:    r.IncarnationAt(e),
+		Incarnation:    r.EffectiveIncarnation(e),
 		ReportedAt:     asked,
 		UsedTokens:     r.UsedTokens,
 		CapacityTokens: r.CapacityTokens,
@@ -319,7 +319,7 @@
 // onAttempt logs an attempt that failed and what followed.
 func (g *Gateway) onAttempt(j *job.Job, grant dispatch.Grant, f *attempt.Failure, step retry.Step) {
 	if f.Kind == retry.NotSent && errors.Is(f.Err, syscall.ECONNREFUSED) {
-		g.crashes.Refused(g.work, grant.Endpoint)
+		g.crashes.RecordRefusedConnection(g.work, grant.Endpoint)
 	}
 	g.log.Warn("attempt failed", "request", j.RequestID, "workspace", j.Workspace, "kind", j.Kind, "identity", j.Identity(), "endpoint", grant.Endpoint.ID, "address", grant.Endpoint.Address,
 		"failure", f.Kind, "error", f.Err, "step", step, "elapsed_ms", clock.Since(j.Arrived).Milliseconds(),
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -24,22 +24,22 @@
 
 // onBroken takes the news that a request broke off at an endpoint.
 func (g *Gateway) onBroken(j *job.Job, at fleet.Endpoint, sent time.Time) {
-	g.crashes.Broken(g.work, at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), Sent: sent, At: clock.Now()})
+	g.crashes.RecordBrokenRun(g.work, at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), SentAt: sent, InterruptedAt: clock.Now()})
 }
 
 // onLeft takes the news that a caller left while its request ran at an endpoint.
 func (g *Gateway) onLeft(j *job.Job, at fleet.Endpoint, sent time.Time) {
-	g.crashes.Left(at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), Sent: sent, At: clock.Now()})
+	g.crashes.RecordAbandonedRun(at, crashwatch.Run{RequestID: j.RequestID, Identity: j.Identity(), SentAt: sent, InterruptedAt: clock.Now()})
 }
 
 // onEnded holds it against requests that an endpoint ended unannounced while they ran there.
-func (g *Gateway) onEnded(end crashwatch.End, under []crashwatch.Run) {
+func (g *Gateway) onEnded(end crashwatch.Termination, under []crashwatch.Run) {
 	g.metrics.EndedUnder.Add(float64(len(under)))
 	for _, run := range under {
-		g.log.Warn("endpoint ended under a request", "request", run.RequestID, "identity", run.Identity, "endpoint", end.At.ID,
-			"start", end.At.Incarnation, "unlisted", end.Unlisted, "address", end.At.Address, "beside", len(under)-1, "fleet", g.fleetRevision())
+		g.log.Warn("endpoint ended under a request", "request", run.RequestID, "identity", run.Identity, "endpoint", end.Endpoint.ID,
+			"start", end.Endpoint.Incarnation, "unlisted", end.UnlistedInstances, "address", end.Endpoint.Address, "beside", len(under)-1, "fleet", g.fleetRevision())
 	}
-	g.beliefs.Guard().Ended(end, under)
+	g.beliefs.Guard().RecordTermination(end, under)
 }
 
 // tellSoon has the other entries told without waiting for the next round.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 	traffic    *peering.Traffic
 	pool       *upstream.Pool
 	forwarder  *relay.Forwarder
-	engines    engines.Caller
+	engines    engines.Client
 	evacuator  *evacuate.Evacuator
 	// crashes finds out which requests endpoints ended under.
 	crashes *crashwatch.Watcher
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -42,11 +42,11 @@
 	g.beliefs = peering.NewBeliefs(view, g.dispatcher, g.cfg.readers(), g.onLeave)
 	g.beliefs.SetPayloadEvery(g.cfg.ExchangeEvery)
 	g.beliefs.SetIdleReadEvery(g.cfg.PollIdle)
-	g.beliefs.Guard().OnNews(func(c []contain.Change) { contain.LogChanges(g.log, c) }, g.tellSoon)
+	g.beliefs.Guard().OnNewFacts(func(c []contain.Change) { contain.LogChanges(g.log, c) }, g.tellSoon)
 	g.beliefs.OnLimit(g.onLimit)
 	contain.Gauges(g.metrics, g.beliefs.Guard())
 	if g.cfg.Without.has(mechQuarantine) {
-		g.beliefs.Guard().Off()
+		g.beliefs.Guard().Disable()
 	}
 	g.peersHTTP = &http.Client{Transport: peerTransport()}
 	g.peers = peering.NewClient(peering.Config{
@@ -128,11 +128,11 @@
 
 func (g *Gateway) makeRunner() {
 	g.crashes = crashwatch.New(crashwatch.Config{
-		Look:     g.pool.Look,
-		Expected: g.endExpected,
-		Over:     g.superseded,
-		EndsOf:   g.beliefs.Guard().EndsOf,
-		OnEnded:  g.onEnded,
+		Probe:               g.pool.Look,
+		TerminationExpected: g.endExpected,
+		Superseded:          g.superseded,
+		CountTerminations:   g.beliefs.Guard().CountTerminations,
+		OnTermination:       g.onEnded,
 	})
 	g.forwarder = relay.New(relay.Config{
 		Dispatcher:     g.dispatcher,
@@ -140,27 +140,27 @@
 		TokensPerEvent: g.tokensPerEvent,
 		Over:           g.over,
 		OnSend:         g.tellPrompt,
-		OnBegin:        func(at fleet.Endpoint) { g.evacuator.Begun(g.work, at) },
+		OnBegin:        func(at fleet.Endpoint) { g.evacuator.GenerationStarted(g.work, at) },
 		OnClosing:      g.onClosing,
 		OnBroken:       g.onBroken,
 		OnLeft:         g.onLeft,
-		OnWhole:        func(j *job.Job) { g.beliefs.Guard().Whole(j.Identity) },
+		OnWhole:        func(j *job.Job) { g.beliefs.Guard().RecordCompletion(j.Identity) },
 		PausedFor:      g.pausedFor,
 		Check:          g.checkHandoff,
 		OnHandoff:      g.onHandoff,
 	})
 	g.engines = platform.NewEngines(g.pool)
 	g.evacuator = evacuate.New(evacuate.Config{
-		Forwarder:  g.forwarder,
-		Engines:    g.engines,
-		Dispatcher: g.dispatcher,
-		Service:    g.service,
-		Endpoint:   g.endpoint,
-		Over:       g.over,
-		Admit:      g.admits,
-		PausedFor:  g.pausedFor,
-		Log:        g.log,
-		Off: evacuate.Off{
+		Forwarder:      g.forwarder,
+		Engines:        g.engines,
+		Dispatcher:     g.dispatcher,
+		Service:        g.service,
+		Endpoint:       g.endpoint,
+		InstanceEnded:  g.over,
+		Admit:          g.admits,
+		PauseRemaining: g.pausedFor,
+		Log:            g.log,
+		Disabled: evacuate.DisabledFeatures{
 			Moves:       g.cfg.Without.has(mechMoves),
 			CopyRefresh: g.cfg.Without.has(mechCopyRefresh),
 			CopySlack:   g.cfg.Without.has(mechCopySlack),
--- a/internal/peering/beliefs.go
+++ b/internal/peering/beliefs.go
@@ -93,13 +93,13 @@
 		onLeave:       onLeave,
 		guard:         contain.New(),
 	}
-	b.guard.OnApart(b.keepApart)
+	b.guard.OnIsolationChange(b.keepApart)
 	return b
 }
 
 // keepApart tells the scheduler which requests are to be kept apart.
 func (b *Beliefs) keepApart() {
-	requests := b.guard.KeptApart()
+	requests := b.guard.IsolatedRequests()
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetIsolatedRequests(requests) })
 }
 
@@ -214,7 +214,7 @@
 
 // Beat renews the entry's own record.
 func (b *Beliefs) Beat(now time.Time, inherited [][]byte) {
-	b.guard.Forget(now)
+	b.guard.Expire(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed := now.Sub(b.payloadAt) >= b.payloadEvery
@@ -296,7 +296,7 @@
 	}
 	b.setDoubt(doubt)
 	self := b.view.Self()
-	b.guard.SetPlace(placeAmong(self.GetVm(), members, isAlive))
+	b.guard.SetRank(placeAmong(self.GetVm(), members, isAlive))
 	b.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
 		s.SetRank(placeAmong(self.GetVm(), members, mayServe))
 		s.Backpressure().SetPosition(backpressurePlace(self, members))
--- a/internal/peering/exchange_test.go
+++ b/internal/peering/exchange_test.go
@@ -142,7 +142,7 @@
 		g.Expect(p.beliefs.Guard().Counts()).To(Equal(map[quarantine.Status]int{quarantine.Contained: 1}))
 		g.Expect(p.beliefs.Guard().Check(crash)).To(HaveField("Outcome", outcome.NotRun))
 	}
-	late.beliefs.Guard().Whole(crash)
+	late.beliefs.Guard().RecordCompletion(crash)
 	saw.meet(g, late)
 	between.meet(g, saw)
 	for _, p := range []*peer{saw, between, late} {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -59,8 +59,8 @@
 mutant "limits: small uses not told" pkg/limits/limits.go 's/max(n+c.peerUsage(k), n\*c.entries)/n+c.peerUsage(k)/' ./pkg/limits
 mutant "urgent: no overcommit" pkg/scheduler/versions.go 's/c.UrgentOvercommit = true/c.UrgentOvercommit = false/' ./pkg/scheduler
 mutant "parts: news needed" pkg/scheduler/versions.go 's/c.PartitionMemory = true/c.PartitionMemory = false/' ./pkg/scheduler
-mutant "moves: nothing moved that begins late" internal/gateway/parts.go 's/g.evacuator.Begun(g.work, at)//' "./internal/gateway -run TestGenerations"
-mutant "moves: stopped while the link is busy" internal/evacuate/move.go 's/if !e.cfg.Off.CopyRefresh {/if false {/' "./internal/gateway -run TestAGeneration"
+mutant "moves: nothing moved that begins late" internal/gateway/parts.go 's/g.evacuator.GenerationStarted(g.work, at)//' "./internal/gateway -run TestGenerations"
+mutant "moves: stopped while the link is busy" internal/evacuate/move.go 's/if !e.cfg.Disabled.CopyRefresh {/if false {/' "./internal/gateway -run TestAGeneration"
 mutant "moves: no slack between copies" pkg/evacuation/evacuation.go 's/{80 \* time.Millisecond, 40 \* time.Millisecond, 0}/{0}/' ./pkg/evacuation
 mutant "moves: links of targets not counted" pkg/evacuation/evacuation.go 's/^\tbest.busyUntil = end$//' ./pkg/evacuation
 mutant "notices: others' prompts not counted" pkg/scheduler/versions.go 's/c.PrefillRate = DefaultPrefillRate/c.PrefillRate = 0/' ./pkg/scheduler
@@ -130,7 +130,7 @@
 mutant "lives: a late report acted on" internal/engines/engines.go 's/if r.Incarnation == 0 || !e.Instance().HasIncarnation() {/if true {/' "$restarts TestLateNews"
 mutant "lives: copies of others taken up" internal/relay/pass.go 's/if f.cfg.Over != nil \&\& f.cfg.Over(l) {/if false {/' "$restarts TestThe.*StartsAgain"
 mutant "lives: the next one evacuated" internal/evacuate/evacuate.go 's/if _, leaving := e.leaving\[source.Instance()\]; leaving {/if len(e.leaving) > 0 {/' "$restarts TestTheNextLife"
-mutant "lives: a run that the next one doesn't know has ended" internal/evacuate/move.go 's/ \&\& e.stillLives(ctx, source):/:/' "$restarts TestTheNextLifeKnows"
+mutant "lives: a run that the next one doesn't know has ended" internal/evacuate/move.go 's/ \&\& e.sameInstance(ctx, source):/:/' "$restarts TestTheNextLifeKnows"
 mutant "lives: engines not asked for their starts" internal/evacuate/move.go 's/^\t\th.Void(err)$/\t\th.Lost()/' "$restarts TestAStartThatIsNotListed"
 mutant "lives: moved for another" internal/gateway/beliefs.go 's/; ok \&\& e.Instance() == fleet.Instance(l) {/; ok {/' "$restarts TestALeaveOfALife"
 Q=pkg/quarantine/quarantine.go
@@ -171,10 +171,10 @@
 mutant "crashing requests: told by none but who saw them" internal/peering/server.go 's/resp.RequestFacts, resp.WantedRequestFacts = factsOut(now, missing), keysOut(wanted)/resp.WantedRequestFacts, _ = keysOut(wanted), missing/' ./internal/peering
 mutant "crashing requests: sent again by the runner" internal/runner/runner.go 's/if r.cfg.Begin == nil {/if true {/' ./internal/runner
 mutant "crashing requests: not refused at once" internal/filters/quarantined/quarantined.go 's/if err := guard.Check(job.From(r).Identity); err != nil {/if err := guard.Check(job.From(r).Identity); false {/' ./internal/filters/quarantined
-mutant "crashing requests: an announced end counts" internal/crashwatch/crashwatch.go 's/if w.cfg.Expected(at) {/if false {/' ./internal/crashwatch
-mutant "crashing requests: a broken connection counts" internal/crashwatch/crashwatch.go 's/w.cfg.Look(ctx, at) == upstream.Ended/w.cfg.Look(ctx, at) >= 0/' ./internal/crashwatch
-mutant "crashing requests: an end that a start hid doesn't count" internal/crashwatch/crashwatch.go 's/if w.cfg.Over(at) {/if false {/' ./internal/crashwatch
-mutant "crashing requests: callers that left forgotten" internal/crashwatch/crashwatch.go 's/w.left = append(w.left, leftRun{run, at.Instance()})//' ./internal/crashwatch
+mutant "crashing requests: an announced end counts" internal/crashwatch/crashwatch.go 's/if w.cfg.TerminationExpected(endpoint) {/if false {/' ./internal/crashwatch
+mutant "crashing requests: a broken connection counts" internal/crashwatch/crashwatch.go 's/w.cfg.Probe(ctx, endpoint) == upstream.Ended/w.cfg.Probe(ctx, endpoint) >= 0/' ./internal/crashwatch
+mutant "crashing requests: an end that a start hid doesn't count" internal/crashwatch/crashwatch.go 's/if w.cfg.Superseded(endpoint) {/if false {/' ./internal/crashwatch
+mutant "crashing requests: callers that left forgotten" internal/crashwatch/crashwatch.go 's/w.abandoned = append(w.abandoned, abandonedRun{run, endpoint.Instance()})//' ./internal/crashwatch
 mutant "crashing requests: ends not seen by an entry" internal/entry/entry.go 's/OnBroken:     e.onBroken,//' ./internal/entry
 K=internal/clock/clock.go
 mutant "suspensions: not counted" $K 's/return time.Now().Add(TotalSuspended())/return time.Now()/' ./internal/clock
@@ -198,7 +198,7 @@
 mutant "throttling: older news believed" $N/reports.go 's/case !r.ReportedAt.After(st.reportedAt):/case false:/' ./pkg/backpressure
 mutant "throttling: forgotten with the record" $N/reports.go 's/now.Sub(st.unlistedSince) >= unlistedRetention/true/' ./pkg/backpressure
 mutant "throttling: who finds no room waits" pkg/scheduler/throttling.go 's/if s.backpressure.Idle() {/if true {/' "./pkg/scheduler -run Limited"
-mutant "throttling: generations moved there" internal/evacuate/input.go 's/st.Throttled || //' "./internal/gateway -run TakeMore"
+mutant "throttling: generations moved there" internal/evacuate/input.go 's/status.Throttled || //' "./internal/gateway -run TakeMore"
 mutant "pauses: not kept by requests" $N/set.go 's/if s.PauseRemaining(now, e.Instance()) > 0 {/if false {/' "./pkg/scheduler -run Pause"
 mutant "pauses: not kept by calls of engines" internal/upstream/pool.go 's/if p.hooks.Admit == nil {/if true {/' "./internal/gateway -run Pause"
 mutant "pauses: cut short by a shorter one" $N/pause.go 's/if until.After(previous) {/if true {/' "./pkg/scheduler -run Pause"
