--- a/internal/peering/cluster_state.go
+++ b/internal/peering/cluster_state.go
@@ -98,13 +98,13 @@
 		onLeave:          onLeave,
 		guard:            contain.New(),
 	}
-	cs.guard.OnApart(cs.updateIsolatedRequests)
+	cs.guard.OnIsolationChange(cs.updateIsolatedRequests)
 	return cs
 }
 
 // updateIsolatedRequests passes the requests to be isolated to the scheduler.
 func (cs *ClusterState) updateIsolatedRequests() {
-	requests := cs.guard.KeptApart()
+	requests := cs.guard.IsolatedRequests()
 	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetIsolatedRequests(requests) })
 }
 
@@ -223,7 +223,7 @@
 // Heartbeat refreshes the own record with the given inherited incarnations, expires stale peers
 // and facts, and passes changed membership to the scheduler. It is called periodically.
 func (cs *ClusterState) Heartbeat(now time.Time, inherited [][]byte) {
-	cs.guard.Forget(now)
+	cs.guard.Expire(now)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	payloadDue := now.Sub(cs.payloadUpdatedAt) >= cs.payloadInterval
@@ -305,7 +305,7 @@
 	}
 	cs.setUsageUncertain(uncertain)
 	self := cs.view.Self()
-	cs.guard.SetPlace(rankAmong(self.GetVm(), members, isAlive))
+	cs.guard.SetRank(rankAmong(self.GetVm(), members, isAlive))
 	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
 		s.SetRank(rankAmong(self.GetVm(), members, mayServe))
 		s.Backpressure().SetRank(backpressurePosition(self, members))
--- a/internal/peering/exchange_test.go
+++ b/internal/peering/exchange_test.go
@@ -144,7 +144,7 @@
 		g.Expect(p.state.Guard().Counts()).To(Equal(map[quarantine.Status]int{quarantine.Contained: 1}))
 		g.Expect(p.state.Guard().Check(crash)).To(HaveField("Outcome", outcome.NotRun))
 	}
-	newcomer.state.Guard().Whole(crash)
+	newcomer.state.Guard().RecordCompletion(crash)
 	origin.exchangeWith(g, newcomer)
 	intermediate.exchangeWith(g, origin)
 	for _, p := range []*testPeer{origin, intermediate, newcomer} {
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -248,7 +248,7 @@
 			times = append(times, a.time)
 		}
 	}
-	return window.Most(times, limitWindow)
+	return window.MaxCount(times, limitWindow)
 }
 
 func (s *limitSim) countSince(endpoint string, start time.Time) (n int) {
