--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer holds the answer of a run that any number of callers follow,
-// each from its start: the run writes a Log, followers copy it to their sinks.
+// Package answer buffers the answer of a run for any number of callers. The run
+// appends to a Log, and each follower copies the Log to its sink from the start.
 package answer
 
 import (
@@ -12,13 +12,14 @@
 	"github.com/bridgehoist/bridgehoist/pkg/outcome"
 )
 
-// MaxBytes bounds one answer.
+// MaxBytes is the maximum size of the body of one answer.
 const MaxBytes = 4 << 20
 
-// ErrTooLarge says that an answer exceeds MaxBytes.
+// ErrTooLarge is returned when an answer exceeds MaxBytes.
 var ErrTooLarge = errors.New("answer: too large")
 
-// Log is an answer under way. It implements job.Sink.
+// Log is an append-only buffer of an answer that may be incomplete. It implements
+// job.Sink and is safe for concurrent use.
 type Log struct {
 	mu          sync.Mutex
 	changed     chan struct{}
@@ -30,7 +31,7 @@
 	err         *outcome.Error
 }
 
-// NewLog makes an empty log.
+// NewLog returns an empty log.
 func NewLog() *Log { return &Log{changed: make(chan struct{})} }
 
 func (l *Log) notify() {
@@ -63,7 +64,7 @@
 // Flush implements job.Sink.
 func (l *Log) Flush() {}
 
-// Close ends the log with its outcome; nil stands for complete.
+// Close marks the log as ended with its outcome; nil means complete.
 func (l *Log) Close(err *outcome.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,14 +73,15 @@
 	l.notify()
 }
 
-// Answer returns what was written so far.
+// Answer returns the status, content type and body written so far; status is 0
+// before the header.
 func (l *Log) Answer() (status int, contentType string, data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.status, l.contentType, l.data
 }
 
-type view struct {
+type snapshot struct {
 	started     bool
 	status      int
 	contentType string
@@ -89,29 +91,29 @@
 	changed     <-chan struct{}
 }
 
-func (l *Log) view(from int) view {
+func (l *Log) snapshot(offset int) snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return view{l.started, l.status, l.contentType, l.data[from:], l.closed, l.err, l.changed}
+	return snapshot{l.started, l.status, l.contentType, l.data[offset:], l.closed, l.err, l.changed}
 }
 
-// Follow copies the log to a sink until its end or until the context's. The
-// run goes on without its followers.
+// Follow copies the log to the sink until the log is closed, ctx is done or the
+// sink fails. The run continues when a follower stops.
 func (l *Log) Follow(ctx context.Context, sink job.Sink) *outcome.Error {
-	from := 0
-	header := false
+	offset := 0
+	headerSent := false
 	for {
-		v := l.view(from)
-		if v.started && !header {
+		v := l.snapshot(offset)
+		if v.started && !headerSent {
 			sink.Header(v.status, v.contentType)
-			header = true
+			headerSent = true
 		}
 		if len(v.data) > 0 {
 			if err := sink.Data(v.data); err != nil {
 				return callerGone()
 			}
 			sink.Flush()
-			from += len(v.data)
+			offset += len(v.data)
 		}
 		if v.closed {
 			return v.err
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,4 +1,5 @@
-// Package attempt describes how one attempt at a request ended.
+// Package attempt defines the result of one attempt at sending a request to an
+// endpoint: complete, or failed with the data that package retry decides on.
 package attempt
 
 import (
@@ -8,31 +9,32 @@
 	"github.com/bridgehoist/bridgehoist/pkg/retry"
 )
 
-// Failure says why an attempt ended without the whole answer.
+// Failure is the reason why an attempt ended without the complete answer.
 type Failure struct {
 	Kind retry.Failure
-	// Draining says that the endpoint takes no new work.
+	// Draining is set if the endpoint accepts no new requests.
 	Draining bool
-	// Withheld says that nothing was sent because the endpoint wants nothing now.
-	Withheld bool
-	// Incarnation of the endpoint, if it told.
+	// Paused is set if nothing was sent because the endpoint has paused its requests.
+	Paused bool
+	// Incarnation is the one that the endpoint reported, or zero.
 	Incarnation uint64
-	// Answer is an endpoint's own error, which is passed on if nothing better comes.
+	// Answer is an error response of the endpoint. It is forwarded to the caller
+	// if no further attempt is made.
 	Answer *Answer
 	Err    error
 }
 
-// Answer is a whole answer of an endpoint.
+// Answer is a complete response of an endpoint.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// WriteTo passes the answer on.
+// WriteTo writes the answer to the sink.
 func (a *Answer) WriteTo(sink job.HeaderSink) {
 	sink.Start(a.Status, a.Header, int64(len(a.Body)))
-	// A caller that no longer reads is noticed by its context.
+	// The error can be ignored: the context of a caller that disconnects is cancelled.
 	_ = sink.Data(a.Body)
 	sink.Flush()
 }
@@ -40,11 +42,11 @@
 // Error implements the error interface.
 func (f *Failure) Error() string { return f.Kind.String() + ": " + f.Err.Error() }
 
-// Ending is how an attempt ended; without a failure the answer is complete.
-type Ending struct {
+// Result is the result of an attempt. The answer is complete if Failure is nil.
+type Result struct {
 	Failure *Failure
-	// Released counts the tokens that the caller has received.
+	// Released is the number of tokens sent to the caller.
 	Released int
-	// Generated counts the tokens that came.
+	// Generated is the number of tokens received from the endpoint.
 	Generated int
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,8 +1,9 @@
-// Package dispatch runs a scheduling policy for the goroutines of an entry.
+// Package dispatch serializes access to an entry's scheduling policy.
 //
-// The policy itself is not safe for concurrent use and knows no clock; the
-// Dispatcher serialises it, hands its grants to the waiting requests, and asks
-// it again whenever something has changed.
+// A policy is not safe for concurrent use and takes the current time as an
+// argument. The Dispatcher calls it under a mutex, delivers its grants and
+// refusals to the waiting requests, and runs it again after each state change
+// and periodically.
 package dispatch
 
 import (
@@ -16,36 +17,36 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// tick is how often waiting requests are looked at without any event.
-const tick = 20 * time.Millisecond
+// pollInterval is the time between two runs of the policy when no event occurs.
+const pollInterval = 20 * time.Millisecond
 
-// Grant lets a request go to an endpoint.
+// Grant permits a request to be sent to an endpoint.
 type Grant struct {
 	ID       scheduler.ID
 	Endpoint fleet.Endpoint
 }
 
-type verdict struct {
+type decision struct {
 	grant Grant
 	err   *outcome.Error
 }
 
-// Dispatcher serialises a policy.
+// Dispatcher serializes calls to a policy. It is safe for concurrent use.
 type Dispatcher struct {
 	mu      sync.Mutex
 	policy  scheduler.Policy
-	waiting map[scheduler.ID]chan verdict
+	waiting map[scheduler.ID]chan decision
 	nextID  scheduler.ID
 }
 
-// New makes a dispatcher of a policy.
+// New returns a dispatcher for the policy.
 func New(p scheduler.Policy) *Dispatcher {
-	return &Dispatcher{policy: p, waiting: map[scheduler.ID]chan verdict{}}
+	return &Dispatcher{policy: p, waiting: map[scheduler.ID]chan decision{}}
 }
 
-// Run asks the policy regularly while requests wait, until the context ends.
+// Run runs the policy every pollInterval while requests wait, until ctx is done.
 func (d *Dispatcher) Run(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -57,23 +58,24 @@
 	}
 }
 
-// Update changes the policy's beliefs and acts on what follows.
+// Update changes the policy's state, then runs the policy and delivers its decisions.
 func (d *Dispatcher) Update(change func(now time.Time, p scheduler.Policy)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
 	change(now, d.policy)
-	d.pump(now)
+	d.schedule(now)
 }
 
-// View reads the policy's beliefs.
+// View calls read with the policy while it is locked. It doesn't run the policy.
 func (d *Dispatcher) View(read func(now time.Time, p scheduler.Policy)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	read(clock.Now(), d.policy)
 }
 
-// ViewScheduler reads or sets what the scheduler believes; other policies are passed over.
+// ViewScheduler calls view if the policy is a *scheduler.Scheduler, and does nothing for other
+// policies. view may change the scheduler's state.
 func (d *Dispatcher) ViewScheduler(view func(now time.Time, s *scheduler.Scheduler)) {
 	d.View(func(now time.Time, p scheduler.Policy) {
 		if s, ok := p.(*scheduler.Scheduler); ok {
@@ -82,27 +84,27 @@
 	})
 }
 
-// Pause records that an endpoint wants nothing from this entry for some time, and reports
-// whether that is news.
-func (d *Dispatcher) Pause(l fleet.Instance, lasts time.Duration) (news bool) {
-	d.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { news = s.Backpressure().Pause(now, l, lasts) })
-	return news
+// Pause records that an endpoint accepts no requests from this entry for duration, and reports
+// whether a pause started, as opposed to one in effect being repeated.
+func (d *Dispatcher) Pause(instance fleet.Instance, duration time.Duration) (changed bool) {
+	d.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { changed = s.Backpressure().Pause(now, instance, duration) })
+	return changed
 }
 
-func (d *Dispatcher) pump(now time.Time) {
+func (d *Dispatcher) schedule(now time.Time) {
 	if len(d.waiting) == 0 {
 		return
 	}
 	actions := d.policy.Next(now)
 	for _, g := range actions.Dispatches {
-		d.settle(g.ID, verdict{grant: Grant{g.ID, g.Endpoint}})
+		d.deliver(g.ID, decision{grant: Grant{g.ID, g.Endpoint}})
 	}
 	for _, r := range actions.Refusals {
-		d.settle(r.ID, verdict{err: r.Err})
+		d.deliver(r.ID, decision{err: r.Err})
 	}
 }
 
-func (d *Dispatcher) settle(id scheduler.ID, v verdict) {
+func (d *Dispatcher) deliver(id scheduler.ID, v decision) {
 	ch, ok := d.waiting[id]
 	if !ok {
 		return
@@ -111,8 +113,8 @@
 	ch <- v
 }
 
-// Acquire waits until the policy grants or refuses the request. An error is
-// always NotRun: nothing has been sent.
+// Acquire waits until the policy grants or refuses the request, or ctx is done.
+// The outcome of an error is always NotRun, since nothing has been sent.
 func (d *Dispatcher) Acquire(ctx context.Context, r scheduler.Request) (Grant, *outcome.Error) {
 	id, ch, err := d.submit(r)
 	if err != nil {
@@ -122,11 +124,11 @@
 	case v := <-ch:
 		return v.grant, v.err
 	case <-ctx.Done():
-		return Grant{}, d.abandon(id, ch)
+		return Grant{}, d.withdraw(id, ch)
 	}
 }
 
-func (d *Dispatcher) submit(r scheduler.Request) (scheduler.ID, chan verdict, *outcome.Error) {
+func (d *Dispatcher) submit(r scheduler.Request) (scheduler.ID, chan decision, *outcome.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.nextID++
@@ -135,14 +137,15 @@
 	if err := d.policy.Submit(now, r); err != nil {
 		return 0, nil, err
 	}
-	ch := make(chan verdict, 1)
+	ch := make(chan decision, 1)
 	d.waiting[r.ID] = ch
-	d.pump(now)
+	d.schedule(now)
 	return r.ID, ch, nil
 }
 
-// abandon takes a request back whose caller has gone, granted or not.
-func (d *Dispatcher) abandon(id scheduler.ID, ch chan verdict) *outcome.Error {
+// withdraw cancels a request whose context is done, or releases its grant if
+// the policy has already granted it.
+func (d *Dispatcher) withdraw(id scheduler.ID, ch chan decision) *outcome.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
@@ -154,10 +157,10 @@
 	case v := <-ch:
 		if v.err == nil {
 			d.policy.Finish(now, id, scheduler.Result{})
-			d.pump(now)
+			d.schedule(now)
 		}
 	default:
-		// The policy has let go of the request, but not said so yet.
+		// The policy no longer holds the request, but its decision has not been delivered.
 		delete(d.waiting, id)
 	}
 	return callerGone()
@@ -167,19 +170,19 @@
 	return outcome.NotRunf(outcome.CodeCallerGone, "the caller has gone or the time is up")
 }
 
-// Progress records tokens of a granted request.
+// Progress records the number of tokens generated for a granted request.
 func (d *Dispatcher) Progress(id scheduler.ID, generated int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policy.Progress(clock.Now(), id, generated)
 }
 
-// Move records that a granted request goes on at another endpoint.
+// Move records that a granted request continues at another endpoint.
 func (d *Dispatcher) Move(id scheduler.ID, to fleet.Instance) {
 	d.Update(func(_ time.Time, p scheduler.Policy) { p.Move(id, to) })
 }
 
-// Finish ends a granted request.
+// Finish records the result of a granted request and releases its grant.
 func (d *Dispatcher) Finish(id scheduler.ID, res scheduler.Result) {
 	d.Update(func(now time.Time, p scheduler.Policy) { p.Finish(now, id, res) })
 }
--- a/internal/entry/chain.go
+++ b/internal/entry/chain.go
@@ -48,7 +48,7 @@
 
 // relay runs a request whose kind may be repeated.
 func (e *Entry) relay(w http.ResponseWriter, r *http.Request) {
-	j := job.From(r)
+	j := job.FromRequest(r)
 	sink := respond.NewWriter(w)
 	sink.End(j, e.runner.Run(r.Context(), j, sink))
 }
@@ -70,7 +70,7 @@
 
 // tickets gives a caller tickets ahead of its requests.
 func (e *Entry) tickets(w http.ResponseWriter, r *http.Request) {
-	j := job.From(r)
+	j := job.FromRequest(r)
 	count := 1
 	if text := r.URL.Query().Get(paramCount); text != "" {
 		n, err := strconv.Atoi(text)
@@ -100,7 +100,7 @@
 func (e *Entry) peerJob(msg *peerv1.RunRequest) (*job.Job, *outcome.Error) {
 	j := &job.Job{
 		RequestID:   e.newRequestID(),
-		Arrived:     clock.Now(),
+		ArrivedAt:   clock.Now(),
 		Method:      msg.GetMethod(),
 		Path:        msg.GetPath(),
 		ContentType: msg.GetContentType(),
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -138,8 +138,8 @@
 			OnBroken:     e.onBroken,
 			OnWhole:      func(j *job.Job) { e.beliefs.Guard().Whole(j.Identity) },
 		}),
-		Begin: func(j *job.Job) (func(), *outcome.Error) { return e.beliefs.Guard().Begin(j.Identity) },
-		OnLeave: func(id string, incarnation uint64) {
+		BeginAttempt: func(j *job.Job) (func(), *outcome.Error) { return e.beliefs.Guard().Begin(j.Identity) },
+		OnDraining: func(id string, incarnation uint64) {
 			e.beliefs.Leave(drain.Leave{Endpoint: id, Incarnation: incarnation}, peering.SourceEndpoint)
 		},
 		OnFailure: e.metrics.ObserveFailure,
--- a/internal/evacuate/move.go
+++ b/internal/evacuate/move.go
@@ -97,7 +97,7 @@
 // withheld reports whether a call wasn't made because the engine wants nothing now.
 func withheld(err error) bool {
 	var failure *attempt.Failure
-	return errors.As(err, &failure) && failure.Withheld
+	return errors.As(err, &failure) && failure.Paused
 }
 
 // lost settles a handoff whose stop wasn't answered: if the stream breaks off, the copy
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -54,7 +54,7 @@
 )
 
 const (
-	stallGap     = job.StallGap
+	stallGap     = job.StallThreshold
 	prefixGroups = 20
 )
 
--- a/internal/filters/account/account.go
+++ b/internal/filters/account/account.go
@@ -20,14 +20,14 @@
 func New(next http.Handler, fill Fill, observe func(*job.Job)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		j := &job.Job{
-			Arrived: clock.Now(),
-			Method:  r.Method,
-			Path:    r.RequestURI,
-			Host:    r.Host,
+			ArrivedAt: clock.Now(),
+			Method:    r.Method,
+			Path:      r.RequestURI,
+			Host:      r.Host,
 		}
 		fill(w, r, j)
 		defer observe(j)
-		next.ServeHTTP(w, job.With(r, j))
+		next.ServeHTTP(w, job.WithJob(r, j))
 	})
 }
 
--- a/internal/filters/body/body.go
+++ b/internal/filters/body/body.go
@@ -27,7 +27,7 @@
 			return
 		}
 		_ = control.SetReadDeadline(time.Time{})
-		j := job.From(r)
+		j := job.FromRequest(r)
 		j.Body = data
 		j.ContentType = r.Header.Get("Content-Type")
 		next.ServeHTTP(w, r)
--- a/internal/filters/body/body_test.go
+++ b/internal/filters/body/body_test.go
@@ -18,10 +18,10 @@
 
 // serve runs the filter before a handler that counts what reaches it.
 func serve(t *testing.T, reached *int) *httptest.Server {
-	next := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { *reached += len(job.From(r).Body) })
+	next := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { *reached += len(job.FromRequest(r).Body) })
 	filter := New(next, 100, 200*time.Millisecond)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		filter.ServeHTTP(w, job.With(r, &job.Job{}))
+		filter.ServeHTTP(w, job.WithJob(r, &job.Job{}))
 	}))
 	t.Cleanup(s.Close)
 	return s
--- a/internal/filters/bound/bound_test.go
+++ b/internal/filters/bound/bound_test.go
@@ -18,7 +18,7 @@
 		entered <- struct{}{}
 		<-leave
 	}), 1)
-	request := func() *http.Request { return job.With(httptest.NewRequest(http.MethodPost, "/", nil), &job.Job{}) }
+	request := func() *http.Request { return job.WithJob(httptest.NewRequest(http.MethodPost, "/", nil), &job.Job{}) }
 	done := make(chan struct{})
 	go func() {
 		h.ServeHTTP(httptest.NewRecorder(), request())
--- a/internal/filters/claim/claim.go
+++ b/internal/filters/claim/claim.go
@@ -21,7 +21,7 @@
 // on to next.
 func New(next http.Handler, o *owner.Owner) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		j := job.From(r)
+		j := job.FromRequest(r)
 		t, ok := claims.ParseTicket(j.Ticket)
 		switch {
 		case ok:
--- a/internal/filters/classify/classify.go
+++ b/internal/filters/classify/classify.go
@@ -32,7 +32,7 @@
 // New makes the filter.
 func New(next http.Handler, current Table) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		j := job.From(r)
+		j := job.FromRequest(r)
 		kind := r.Header.Get(httpapi.HeaderKind)
 		if err := Fill(j, kind, current()); err != nil {
 			respond.Refuse(w, r, err)
--- a/internal/filters/identify/identify.go
+++ b/internal/filters/identify/identify.go
@@ -28,7 +28,7 @@
 			respond.Refuse(w, r, outcome.NotRunf(outcome.CodeWorkspaceMismatch, "the API key belongs to another workspace"))
 			return
 		}
-		job.From(r).Workspace = workspace
+		job.FromRequest(r).Workspace = workspace
 		next.ServeHTTP(w, r)
 	})
 }
--- a/internal/filters/quarantined/quarantined_test.go
+++ b/internal/filters/quarantined/quarantined_test.go
@@ -27,7 +27,7 @@
 	filter := quarantined.New(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }), guard)
 	serve := func(workspace string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		filter.ServeHTTP(w, job.With(httptest.NewRequest(http.MethodPost, "/x", nil), &job.Job{Workspace: workspace, Host: "h", Path: "/x"}))
+		filter.ServeHTTP(w, job.WithJob(httptest.NewRequest(http.MethodPost, "/x", nil), &job.Job{Workspace: workspace, Host: "h", Path: "/x"}))
 		return w
 	}
 	w := serve("w")
--- a/internal/filters/respond/respond.go
+++ b/internal/filters/respond/respond.go
@@ -133,5 +133,5 @@
 
 // Refuse answers a request that isn't run.
 func Refuse(w http.ResponseWriter, r *http.Request, err *outcome.Error) {
-	NewWriter(w).End(job.From(r), err)
+	NewWriter(w).End(job.FromRequest(r), err)
 }
--- a/internal/filters/route/route.go
+++ b/internal/filters/route/route.go
@@ -28,7 +28,7 @@
 // New makes the filter.
 func New(next http.Handler, current Table) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		j := job.From(r)
+		j := job.FromRequest(r)
 		if err := fill(j, current()); err != nil {
 			respond.Refuse(w, r, err)
 			return
@@ -81,7 +81,7 @@
 		return outcome.NotRunf(outcome.CodeUnauthenticated, "the API key is not known")
 	}
 	j.Workspace = w.Name
-	j.Regions = w.Regions
+	j.AllowedRegions = w.Regions
 	return nil
 }
 
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -322,7 +322,7 @@
 		g.crashes.Refused(g.work, grant.Endpoint)
 	}
 	g.log.Warn("attempt failed", "request", j.RequestID, "workspace", j.Workspace, "kind", j.Kind, "identity", j.Identity(), "endpoint", grant.Endpoint.ID, "address", grant.Endpoint.Address,
-		"failure", f.Kind, "error", f.Err, "step", step, "elapsed_ms", clock.Since(j.Arrived).Milliseconds(),
+		"failure", f.Kind, "error", f.Err, "step", step, "elapsed_ms", clock.Since(j.ArrivedAt).Milliseconds(),
 		"table", j.Revision, "fleet", g.fleetRevision())
 }
 
@@ -341,9 +341,9 @@
 		g.logLate(j)
 		return
 	}
-	g.log.Warn("request failed", "request", j.RequestID, "workspace", j.Workspace, "kind", j.Kind, "target", j.Row.Target, "identity", j.KnownIdentity(),
-		"outcome", j.Outcome, "code", j.Code, "reason", j.Reason, "queued_ms", j.Timings.Queued.Milliseconds(),
-		"elapsed_ms", clock.Since(j.Arrived).Milliseconds(), "timeout_ms", j.Row.Timeout.Milliseconds(),
+	g.log.Warn("request failed", "request", j.RequestID, "workspace", j.Workspace, "kind", j.Kind, "target", j.Row.Target, "identity", j.ComputedIdentity(),
+		"outcome", j.Outcome, "code", j.Code, "reason", j.Reason, "queued_ms", j.Timings.QueueTime.Milliseconds(),
+		"elapsed_ms", clock.Since(j.ArrivedAt).Milliseconds(), "timeout_ms", j.Row.Timeout.Milliseconds(),
 		"table", j.Revision, "fleet", g.fleetRevision())
 }
 
@@ -351,11 +351,11 @@
 func (g *Gateway) logLate(j *job.Job) {
 	row := &j.Row
 	t := &j.Timings
-	if t.FirstToken <= row.Objective && (row.MaxGap == 0 || t.LongestGap <= row.MaxGap) {
+	if t.TimeToFirstToken <= row.Objective && (row.MaxGap == 0 || t.MaxInterTokenLatency <= row.MaxGap) {
 		return
 	}
 	g.log.Info("request late", "request", j.RequestID, "workspace", j.Workspace, "kind", j.Kind, "endpoint", j.Endpoint,
-		"first_ms", t.FirstToken.Milliseconds(), "objective_ms", row.Objective.Milliseconds(),
-		"queued_ms", t.Queued.Milliseconds(), "gap_ms", t.LongestGap.Milliseconds(), "max_gap_ms", row.MaxGap.Milliseconds(),
-		"tokens_in", j.PromptTokens, "elapsed_ms", clock.Since(j.Arrived).Milliseconds(), "table", j.Revision)
+		"first_ms", t.TimeToFirstToken.Milliseconds(), "objective_ms", row.Objective.Milliseconds(),
+		"queued_ms", t.QueueTime.Milliseconds(), "gap_ms", t.MaxInterTokenLatency.Milliseconds(), "max_gap_ms", row.MaxGap.Milliseconds(),
+		"tokens_in", j.PromptTokens, "elapsed_ms", clock.Since(j.ArrivedAt).Milliseconds(), "table", j.Revision)
 }
--- a/internal/gateway/chain.go
+++ b/internal/gateway/chain.go
@@ -33,7 +33,7 @@
 }
 
 func (g *Gateway) relay(w http.ResponseWriter, r *http.Request) {
-	j := job.From(r)
+	j := job.FromRequest(r)
 	sink := respond.NewWriter(w).CutUnread(g.cfg.UnreadTimeout)
 	sink.End(j, g.runner.Run(r.Context(), j, sink))
 }
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -169,11 +169,11 @@
 		OnMove: func(result string) { g.metrics.Moves.WithLabelValues(result).Inc() },
 	})
 	g.runner = runner.New(runner.Config{
-		Dispatcher: g.dispatcher,
-		Performer:  g.forwarder,
-		Budget:     g.retryBudget(),
-		Begin:      func(j *job.Job) (func(), *outcome.Error) { return g.beliefs.Guard().Begin(j.Identity) },
-		OnLeave: func(id string, incarnation uint64) {
+		Dispatcher:   g.dispatcher,
+		Performer:    g.forwarder,
+		TargetBudget: g.retryBudget(),
+		BeginAttempt: func(j *job.Job) (func(), *outcome.Error) { return g.beliefs.Guard().Begin(j.Identity) },
+		OnDraining: func(id string, incarnation uint64) {
 			g.beliefs.Leave(drain.Leave{Endpoint: id, Incarnation: incarnation}, peering.SourceEndpoint)
 		},
 		OnFailure: g.metrics.ObserveFailure,
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds what the filters of an entry hand on: the request as it was
-// understood, and the sink of its answer.
+// Package job defines the request state that an entry's filters share: the
+// parsed request, its accounting data, and the sink that receives its answer.
 package job
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
-// Job is one request of a caller. Filters fill it in their order; from the
-// claim on it no longer changes.
+// Job is one request of a caller. The filters fill it in in their order. The
+// request fields don't change after the request's ticket has been claimed.
 type Job struct {
 	// RequestID identifies the request in logs.
 	RequestID string
-	Arrived   time.Time
+	ArrivedAt time.Time
 
 	// Set by the body filter.
 	Method      string
@@ -31,12 +31,12 @@
 	// Set by the identify filter.
 	Workspace string
 
-	// Set by the classify filter. Row and Revision stay the same to the end,
-	// whatever becomes of the table.
+	// Set by the classify filter. Row and Revision don't change when a newer
+	// table takes effect.
 	Kind     string
 	Row      table.Row
 	Revision revision.ID
-	// ServicePath is what a plain service is asked for.
+	// ServicePath is the path requested from a plain service.
 	ServicePath string
 	// Model and Prompt are set for engines.
 	Model     string
@@ -44,56 +44,56 @@
 	MaxTokens int
 	Stream    bool
 
-	// ExactRetryAfter says that the caller reads fractions of a second in
+	// ExactRetryAfter is set if the caller accepts fractions of a second in
 	// Retry-After.
 	ExactRetryAfter bool
-	// APIKey is what the caller identified itself with.
+	// APIKey is the key that the caller authenticated with.
 	APIKey string
-	// Header is passed on to the endpoint, Host and URI too.
+	// Header and Host are forwarded to the endpoint, as is Path.
 	Header http.Header
 	Host   string
-	// PromptTokens and ExpectedTokens are what the caller said of its prompt and
-	// of the output; zero if it said nothing.
+	// PromptTokens and ExpectedTokens are the caller's figures for the length of
+	// its prompt and of the output; zero if it gave none.
 	PromptTokens   int
 	ExpectedTokens int
 	PromptParts    []PromptPart
-	// CallerWaits is how long the caller waits from its arrival on; zero if it
-	// didn't say.
-	CallerWaits time.Duration
-	// ResumeAfter is what the caller sent as the id of the last event that it has; it
-	// counts on resumable rows only.
+	// CallerTimeout is how long the caller waits, counted from ArrivedAt; zero if
+	// it gave no timeout.
+	CallerTimeout time.Duration
+	// ResumeAfter is the id of the last event that the caller received, as it sent
+	// it; it is used on resumable rows only.
 	ResumeAfter string
-	// Delivered is what the caller has of a stream, over all attempts.
+	// Delivered tracks how much of a stream the caller has received, over all attempts.
 	Delivered StreamState
-	// Ticket is what the caller sent to make the request non-repeatable.
+	// Ticket is the ticket that the caller sent so that its request runs at most once.
 	Ticket string
-	// OwnerAnswered says that an error comes from the ticket's owner.
+	// OwnerAnswered is set if the answer or error comes from the ticket's owner.
 	OwnerAnswered bool
 
-	// Regions are the workspace's; see table.Workspace.
-	Regions []string
-	// identity is kept once it has been asked for; see Identity.
+	// AllowedRegions are the workspace's regions; see table.Workspace.
+	AllowedRegions []string
+	// identity caches the result of Identity; nil until its first call.
 	identity *quarantine.Identity
 
-	// Endpoint is where the request ran last, for logs.
+	// Endpoint is the id of the endpoint of the last attempt, for logs.
 	Endpoint string
 	// Outcome and Code are set when the answer has been written, for accounting.
-	// Reason says why in words.
+	// Reason describes the cause as text.
 	Outcome outcome.Outcome
 	Code    outcome.Code
 	Reason  string
-	// Timings for accounting.
 	Timings Timings
 
-	// BeforeSend is called right before bytes may reach an endpoint; false
-	// forbids it. NotSent takes that back on proof. Both may be nil.
+	// BeforeSend is called right before bytes may reach an endpoint; nothing is
+	// sent if it returns false. OnNotSent reverts a BeforeSend when it is proven
+	// that the request did not run. Both may be nil.
 	BeforeSend func() bool
-	NotSent    func()
+	OnNotSent  func()
 }
 
-// Identity names what the caller asks for. It is computed once, when it is first asked for:
-// hashing a prompt of 16 KB takes 11 us (BenchmarkIdentity), which requests that are refused
-// don't cost.
+// Identity returns the request's quarantine identity, a hash of its workspace, host, path and
+// body. It is computed on the first call, so that requests that are refused earlier don't pay
+// for it: hashing a prompt of 16 KB takes 11 us (BenchmarkIdentity).
 func (j *Job) Identity() quarantine.Identity {
 	if j.identity == nil {
 		identity := quarantine.IdentityOf(j.Workspace, j.Host, j.Path, j.Body)
@@ -102,111 +102,115 @@
 	return *j.identity
 }
 
-// KnownIdentity is Identity as text, or empty if nothing has asked for it yet.
-func (j *Job) KnownIdentity() string {
+// ComputedIdentity returns Identity as text, or an empty string if it has not been computed.
+func (j *Job) ComputedIdentity() string {
 	if j.identity == nil {
 		return ""
 	}
 	return j.identity.String()
 }
 
-// Timings measures how a request progressed.
+// Timings holds the latencies of a request, for accounting.
 type Timings struct {
-	Queued     time.Duration
-	FirstToken time.Duration
-	// Stalled sums the gaps without progress that were longer than StallGap,
-	// the wait for the first token included.
+	QueueTime        time.Duration
+	TimeToFirstToken time.Duration
+	// Stalled is the sum of the latencies above StallThreshold, including the
+	// time to first token.
 	Stalled time.Duration
-	Gaps    []time.Duration
-	// LongestGap is the longest time between two parts of the answer.
-	LongestGap  time.Duration
-	Preemptions int
+	// InterTokenLatencies holds the first maxLatencySamples latencies.
+	InterTokenLatencies []time.Duration
+	// MaxInterTokenLatency is the longest time between two parts of the answer.
+	MaxInterTokenLatency time.Duration
+	Preemptions          int
 }
 
-// StallGap is the gap from which on a request counts as stalled.
-const StallGap = 200 * time.Millisecond
+// StallThreshold is the latency above which a request counts as stalled.
+const StallThreshold = 200 * time.Millisecond
 
-// maxGaps bounds the gaps kept for accounting.
-const maxGaps = 4096
+// maxLatencySamples is the maximum number of latencies stored per request.
+const maxLatencySamples = 4096
 
-// Progress records progress now, after progress at last, and returns now.
-func (t *Timings) Progress(arrived, last time.Time) time.Time {
+// RecordProgress records that a part of the answer arrived now. arrived is the
+// time of the request and last that of the previous part. It returns the
+// current time.
+func (t *Timings) RecordProgress(arrived, last time.Time) time.Time {
 	now := clock.Now()
 	gap := now.Sub(last)
-	if t.FirstToken == 0 {
-		t.FirstToken = now.Sub(arrived)
-		gap = t.FirstToken
+	if t.TimeToFirstToken == 0 {
+		t.TimeToFirstToken = now.Sub(arrived)
+		gap = t.TimeToFirstToken
 	} else {
-		t.LongestGap = max(t.LongestGap, gap)
-		if len(t.Gaps) < maxGaps {
-			t.Gaps = append(t.Gaps, gap)
+		t.MaxInterTokenLatency = max(t.MaxInterTokenLatency, gap)
+		if len(t.InterTokenLatencies) < maxLatencySamples {
+			t.InterTokenLatencies = append(t.InterTokenLatencies, gap)
 		}
 	}
-	if gap > StallGap {
+	if gap > StallThreshold {
 		t.Stalled += gap
 	}
 	return now
 }
 
-// StreamState is what a caller has got of a stream.
+// StreamState tracks how much of a stream the caller has received.
 type StreamState struct {
-	// Events finds the whole events that are new to the caller.
+	// Events extracts the complete events that the caller has not received.
 	Events stream.Splitter
-	// Begun says that the head of the answer has gone out.
-	Begun bool
-	// LastAt is when the last event went out.
-	LastAt time.Time
+	// HeaderSent is set once the header of the answer has been sent.
+	HeaderSent bool
+	// LastEventAt is the time when the last event was sent.
+	LastEventAt time.Time
 }
 
-// PromptPart is a part of a prompt that other requests may share.
+// PromptPart is a part of a prompt that may occur in other requests too.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Deadline is when the request's timeout ends, or when its caller stops waiting
-// if that is sooner.
+// Deadline returns the end of the row's timeout or of the caller's timeout,
+// whichever comes first.
 func (j *Job) Deadline() time.Time {
-	if j.CallerWaits > 0 && j.CallerWaits < j.Row.Timeout {
-		return j.Arrived.Add(j.CallerWaits)
+	if j.CallerTimeout > 0 && j.CallerTimeout < j.Row.Timeout {
+		return j.ArrivedAt.Add(j.CallerTimeout)
 	}
-	return j.Arrived.Add(j.Row.Timeout)
+	return j.ArrivedAt.Add(j.Row.Timeout)
 }
 
-// Left is the time until the deadline, or zero if the context has ended.
-func (j *Job) Left(ctx context.Context) time.Duration {
+// TimeRemaining returns the time until the deadline, or zero if ctx is done.
+func (j *Job) TimeRemaining(ctx context.Context) time.Duration {
 	if ctx.Err() != nil {
 		return 0
 	}
 	return clock.Until(j.Deadline())
 }
 
-// HeaderSink is a sink that passes on an endpoint's answer with its headers.
+// HeaderSink is a Sink that also accepts an endpoint's answer with its headers.
 type HeaderSink interface {
 	Sink
-	// Start starts the answer; length is that of its body, or -1 if it isn't
-	// known.
+	// Start writes the header of the answer; length is the body's length in
+	// bytes, or -1 if unknown.
 	Start(status int, h http.Header, length int64)
 }
 
-// Sink takes an answer: one header, data, and one end.
+// Sink receives an answer: one header, then its data.
 type Sink interface {
-	// Header starts the answer.
+	// Header writes the header of the answer.
 	Header(status int, contentType string)
-	// Data passes a part on. An error says that nobody reads any more.
+	// Data writes a part of the body. An error means that no more can be written,
+	// for instance since the caller has disconnected.
 	Data(part []byte) error
-	// Flush passes on what is buffered.
+	// Flush sends buffered data.
 	Flush()
 }
 
 type contextKey struct{}
 
-// With puts a job into a request's context.
-func With(r *http.Request, j *Job) *http.Request {
+// WithJob returns a copy of r whose context carries the job.
+func WithJob(r *http.Request, j *Job) *http.Request {
 	return r.WithContext(context.WithValue(r.Context(), contextKey{}, j))
 }
 
-// From takes the job out of a request's context.
-func From(r *http.Request) *Job {
+// FromRequest returns the job in the request's context. It panics if there is none.
+func FromRequest(r *http.Request) *Job {
 	return r.Context().Value(contextKey{}).(*Job)
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -194,7 +194,7 @@
 	} else {
 		p.gaps = append(p.gaps, gap)
 	}
-	if gap > job.StallGap {
+	if gap > job.StallThreshold {
 		p.stall += gap
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -191,15 +191,15 @@
 }
 
 func (m *Metrics) observeTimings(ws, kind string, t *job.Timings) {
-	if t.FirstToken == 0 {
+	if t.TimeToFirstToken == 0 {
 		return
 	}
 	m.stall.WithLabelValues(ws, kind).Observe(t.Stalled.Seconds())
-	m.firstToken.WithLabelValues(ws, kind).Observe(t.FirstToken.Seconds())
-	m.queueWait.WithLabelValues(ws, kind).Observe(t.Queued.Seconds())
+	m.firstToken.WithLabelValues(ws, kind).Observe(t.TimeToFirstToken.Seconds())
+	m.queueWait.WithLabelValues(ws, kind).Observe(t.QueueTime.Seconds())
 	m.preemptions.WithLabelValues(ws, kind).Add(float64(t.Preemptions))
 	gaps := m.gaps.WithLabelValues(ws, kind)
-	for _, g := range t.Gaps {
+	for _, g := range t.InterTokenLatencies {
 		gaps.Observe(g.Seconds())
 	}
 }
--- a/internal/native/generate.go
+++ b/internal/native/generate.go
@@ -39,7 +39,7 @@
 
 // generate runs a request at an engine, resuming the same generation whenever
 // the link is lost.
-func (p *Performer) generate(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Ending {
+func (p *Performer) generate(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Result {
 	g := &generation{p: p, j: j, sink: sink, grant: grant, last: clock.Now()}
 	sent := g.last
 	f := g.link(ctx, g.start)
@@ -60,7 +60,7 @@
 		p.broken(ctx, j, grant.Endpoint, sent, f)
 		g.abandon()
 	}
-	return attempt.Ending{Failure: f, Released: g.asm.Released(), Generated: g.asm.Next()}
+	return attempt.Result{Failure: f, Released: g.asm.Released(), Generated: g.asm.Next()}
 }
 
 func (g *generation) mayResume(ctx context.Context, f *attempt.Failure) bool {
@@ -72,7 +72,7 @@
 		GenerationKnown: g.bound.ID != "",
 		Released:        g.asm.Released(),
 		Resumes:         g.resumes,
-		TimeLeft:        g.j.Left(ctx),
+		TimeLeft:        g.j.TimeRemaining(ctx),
 	})
 	return d.Step == retry.Resume
 }
@@ -146,7 +146,7 @@
 		return false
 	}
 	g.resumes = 0
-	g.last = g.j.Timings.Progress(g.j.Arrived, g.last)
+	g.last = g.j.Timings.RecordProgress(g.j.ArrivedAt, g.last)
 	g.p.cfg.Dispatcher.Progress(g.grant.ID, g.asm.Next())
 	return g.deliver(e.Chunk)
 }
--- a/internal/native/native.go
+++ b/internal/native/native.go
@@ -45,7 +45,7 @@
 func New(cfg Config) *Performer { return &Performer{cfg: cfg} }
 
 // Perform implements runner.Performer.
-func (p *Performer) Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Ending {
+func (p *Performer) Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Result {
 	if grant.Endpoint.Type == fleet.Engine {
 		return p.generate(ctx, j, sink, grant)
 	}
@@ -53,21 +53,21 @@
 }
 
 // call runs a request at a plain service.
-func (p *Performer) call(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Ending {
+func (p *Performer) call(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Result {
 	start := clock.Now()
 	reply, f := p.cfg.Client.Call(ctx, grant.Endpoint, j.RequestID, j.Method, j.ServicePath, j.ContentType, j.Body)
 	if f != nil {
 		p.broken(ctx, j, grant.Endpoint, start, f)
-		return attempt.Ending{Failure: f}
+		return attempt.Result{Failure: f}
 	}
 	if reply.Status < http.StatusMultipleChoices {
 		p.whole(j)
 	}
-	j.Timings.Progress(j.Arrived, start)
+	j.Timings.RecordProgress(j.ArrivedAt, start)
 	sink.Header(reply.Status, reply.ContentType)
 	_ = sink.Data(reply.Body)
 	sink.Flush()
-	return attempt.Ending{}
+	return attempt.Result{}
 }
 
 // broken tells of a broken link, unless the caller has left or its time is up, when this
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,6 +1,7 @@
-// Package owner serves requests that carry a ticket: it runs those whose
-// tickets this entry owns, each in a run of its own that goes on when its
-// callers leave, and passes the others on to their owners.
+// Package owner serves requests that carry a ticket. A request whose ticket this
+// entry owns is executed once, in a goroutine that continues when the callers
+// disconnect; all callers with the ticket receive the answer of that run. Other
+// requests are forwarded to the owner of their ticket.
 package owner
 
 import (
@@ -17,17 +18,17 @@
 	peerv1 "github.com/bridgehoist/bridgehoist/gen/bridgehoist/peer/v1"
 )
 
-// Remote passes a request on to the owner of its ticket, or to the entry that
-// took the owner's tickets over.
+// Remote forwards a request to the owner of its ticket, or to the entry that
+// took over the owner's tickets.
 type Remote interface {
-	// RunAt runs the job at another entry and copies the answer to the sink.
-	RunAt(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error
+	// Forward runs the job at another entry and copies the answer to the sink.
+	Forward(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error
 }
 
-// RunFunc runs a job to its final outcome.
+// RunFunc runs a job to its final outcome; nil means complete.
 type RunFunc func(ctx context.Context, j *job.Job, sink job.Sink) *outcome.Error
 
-// Owner serves requests with tickets. It is safe for concurrent use.
+// Owner serves requests that carry tickets. It is safe for concurrent use.
 type Owner struct {
 	mu     sync.Mutex
 	ledger *claims.Ledger
@@ -37,24 +38,24 @@
 	onDone func(*job.Job)
 }
 
-// New makes an owner. onDone is told of each run that has ended.
+// New returns an owner. onDone is called after each run has ended.
 func New(ledger *claims.Ledger, run RunFunc, remote Remote, onDone func(*job.Job)) *Owner {
 	return &Owner{ledger: ledger, runs: map[claims.Key]*answer.Log{}, run: run, remote: remote, onDone: onDone}
 }
 
-// Mint makes a ticket for a workspace.
+// Mint returns a new ticket for a workspace, or false if the ledger issues none.
 func (o *Owner) Mint(workspace string) (string, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ledger.Mint(clock.Now(), workspace)
 }
 
-// Serve answers a job that carries a ticket of any entry.
+// Serve answers a job whose ticket may belong to any entry.
 func (o *Owner) Serve(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	d, log := o.begin(t, j)
 	switch d.Action {
 	case claims.Forward:
-		return o.remote.RunAt(ctx, t, j, sink)
+		return o.remote.Forward(ctx, t, j, sink)
 	case claims.Run, claims.Attach:
 		j.OwnerAnswered = true
 		return log.Follow(ctx, sink)
@@ -67,16 +68,16 @@
 	}
 }
 
-// ServeOwn answers a job that a peer passed on. A ticket that isn't held here
-// is not passed on again.
-func (o *Owner) ServeOwn(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
+// ServeForwarded answers a job that a peer forwarded. If this entry doesn't hold
+// the ticket's incarnation, it returns an error and doesn't forward the job again.
+func (o *Owner) ServeForwarded(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	if !o.Holds(t.Incarnation) {
 		return claims.OwnerReplaced()
 	}
 	return o.Serve(ctx, t, j, sink)
 }
 
-// Holds reports whether this entry may run the tickets of an incarnation.
+// Holds reports whether this entry may run requests with tickets of an incarnation.
 func (o *Owner) Holds(i claims.Incarnation) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,8 +91,8 @@
 	if d.Action == claims.Run {
 		log := answer.NewLog()
 		o.runs[d.Key] = log
-		own := *j
-		go o.execute(d.Key, &own, log)
+		runJob := *j
+		go o.execute(d.Key, &runJob, log)
 		return d, log
 	}
 	return d, o.runs[d.Key]
@@ -112,21 +113,22 @@
 	return d.Err
 }
 
-// execute makes the one run of a ticket. The job is the run's own, and no
-// context of a caller is used, since the caller that brought it may leave.
+// execute performs the only run of a ticket. j is a copy that belongs to the
+// run, and no caller's context is used, since the run continues after the
+// caller disconnects.
 func (o *Owner) execute(key claims.Key, j *job.Job, log *answer.Log) {
-	// Whatever the table says by now, what has a ticket is not repeated.
+	// A request with a ticket is never repeated, even if its table row is idempotent.
 	j.Row.Idempotent = false
-	j.BeforeSend = func() bool { return o.locked(func(l *claims.Ledger) bool { return l.Dispatch(key) }) }
-	j.NotSent = func() { o.locked(func(l *claims.Ledger) bool { l.Undispatch(key); return true }) }
+	j.BeforeSend = func() bool { return o.withLedger(func(l *claims.Ledger) bool { return l.Dispatch(key) }) }
+	j.OnNotSent = func() { o.withLedger(func(l *claims.Ledger) bool { l.Undispatch(key); return true }) }
 	err := o.run(context.Background(), j, log)
 	status, contentType, data := log.Answer()
-	var kept *claims.Answer
+	var stored *claims.Answer
 	if status != 0 {
-		kept = &claims.Answer{Status: status, ContentType: contentType, Body: data}
+		stored = &claims.Answer{Status: status, ContentType: contentType, Body: data}
 	}
 	o.mu.Lock()
-	o.ledger.Finish(clock.Now(), key, kept, err)
+	o.ledger.Finish(clock.Now(), key, stored, err)
 	delete(o.runs, key)
 	o.mu.Unlock()
 	log.Close(err)
@@ -138,40 +140,40 @@
 	o.onDone(j)
 }
 
-func (o *Owner) locked(f func(*claims.Ledger) bool) bool {
+func (o *Owner) withLedger(f func(*claims.Ledger) bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return f(o.ledger)
 }
 
-// Expire forgets what is no longer needed.
+// Expire removes expired records from the ledger.
 func (o *Owner) Expire() {
-	o.locked(func(l *claims.Ledger) bool { l.Expire(clock.Now()); return true })
+	o.withLedger(func(l *claims.Ledger) bool { l.Expire(clock.Now()); return true })
 }
 
-// Stats counts the runs open and the records kept.
+// Stats returns the number of open runs and of stored records.
 func (o *Owner) Stats() (running, records int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ledger.Running(), o.ledger.Records()
 }
 
-// Inherited lists the incarnations taken over.
+// Inherited lists the incarnations whose tickets this entry took over.
 func (o *Owner) Inherited() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ledger.Inherited()
 }
 
-// Adopt takes over the tickets of a stopping entry.
+// Adopt takes over the tickets that a stopping entry handed over.
 func (o *Owner) Adopt(msg *peerv1.HandoverRequest) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ledger.Adopt(clock.Now(), msg)
 }
 
-// Freeze waits until no run is open and ends running for good. It returns false
-// if the context ended first.
+// Freeze waits until no run is open, then freezes the ledger permanently so that
+// none can start. It returns false if ctx is done first.
 func (o *Owner) Freeze(ctx context.Context) bool {
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
@@ -186,7 +188,7 @@
 }
 
 func (o *Owner) tryFreeze() bool {
-	return o.locked(func(l *claims.Ledger) bool {
+	return o.withLedger(func(l *claims.Ledger) bool {
 		if l.Running() > 0 {
 			return false
 		}
@@ -195,10 +197,11 @@
 	})
 }
 
-// Export gives everything to the process with this incarnation. See
-// claims.Ledger.Export for when a second call is allowed.
-func (o *Owner) Export(to []byte) *peerv1.HandoverRequest {
+// Export returns the message that hands all tickets over to the process whose
+// incarnation is recipient. See claims.Ledger.Export for when a second call is
+// allowed.
+func (o *Owner) Export(recipient []byte) *peerv1.HandoverRequest {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ledger.Export(clock.Now(), to)
+	return o.ledger.Export(clock.Now(), recipient)
 }
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -60,7 +60,7 @@
 }
 
 // RunAt implements owner.Remote.
-func (c *Client) RunAt(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
+func (c *Client) Forward(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	address, err := c.locate(t)
 	if err != nil {
 		return err
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	return s.owner.ServeOwn(ctx, t, j, sink)
+	return s.owner.ServeForwarded(ctx, t, j, sink)
 }
 
 // rpcSink passes an answer to the entry that asked.
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -38,7 +38,7 @@
 	arriving *HandoffEvent
 }
 
-func (f *Forwarder) passStream(ctx context.Context, j *job.Job, sink job.HeaderSink, grant dispatch.Grant, resp *upstream.Response, start time.Time, read func()) attempt.Ending {
+func (f *Forwarder) passStream(ctx context.Context, j *job.Job, sink job.HeaderSink, grant dispatch.Grant, resp *upstream.Response, start time.Time, read func()) attempt.Result {
 	p := &pass{
 		f: f, j: j, sink: sink, grant: grant, state: &j.Delivered,
 		session:  &Session{job: j, at: grant.Endpoint},
@@ -46,15 +46,15 @@
 		perEvent: f.cfg.TokensPerEvent(j.Row.Target),
 		read:     read,
 	}
-	if !p.state.Begun {
-		p.state.LastAt = start
+	if !p.state.HeaderSent {
+		p.state.LastEventAt = start
 	}
 	// Half an event of an attempt that broke off goes no further.
 	p.state.Events.BeginContinuation()
 	f.sessions.add(p.session)
 	defer f.sessions.remove(p.session)
 	err := p.follow(ctx, resp)
-	end := attempt.Ending{Released: p.events * p.perEvent, Generated: p.events * p.perEvent}
+	end := attempt.Result{Released: p.events * p.perEvent, Generated: p.events * p.perEvent}
 	if err != nil {
 		end.Failure = &attempt.Failure{Kind: failureKind(err), Err: err}
 		return end
@@ -179,7 +179,7 @@
 	event := *p.arriving
 	p.arriving = nil
 	event.Err = err
-	event.Pause = clock.Since(p.state.LastAt)
+	event.Pause = clock.Since(p.state.LastEventAt)
 	if p.f.cfg.OnHandoff != nil {
 		p.f.cfg.OnHandoff(event)
 	}
@@ -227,7 +227,7 @@
 			p.f.cfg.OnBegin(p.session.Endpoint())
 		}
 	}
-	p.state.LastAt = p.j.Timings.Progress(p.j.Arrived, p.state.LastAt)
+	p.state.LastEventAt = p.j.Timings.RecordProgress(p.j.ArrivedAt, p.state.LastEventAt)
 	p.f.cfg.Dispatcher.Progress(p.grant.ID, p.events*p.perEvent)
 	if err := p.sink.Data(events); err != nil {
 		return errCaller
@@ -237,8 +237,8 @@
 }
 
 func (p *pass) start(resp *upstream.Response) {
-	if !p.state.Begun {
-		p.state.Begun = true
+	if !p.state.HeaderSent {
+		p.state.HeaderSent = true
 		p.sink.Start(resp.Status, resp.Header, resp.Length)
 	}
 }
@@ -253,7 +253,7 @@
 	if p.state.Events.HasPartial() {
 		return io.ErrUnexpectedEOF
 	}
-	if p.state.Begun && p.state.Events.AwaitingContinuation() {
+	if p.state.HeaderSent && p.state.Events.AwaitingContinuation() {
 		return errNoRest
 	}
 	p.start(resp)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -97,21 +97,21 @@
 }
 
 // Perform implements runner.Performer. The sink must be a job.HeaderSink.
-func (f *Forwarder) Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Ending {
+func (f *Forwarder) Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Result {
 	read := f.tellSent(grant.Endpoint, j.PromptTokens)
 	defer read()
 	start := clock.Now()
 	resp, failure := f.cfg.Pool.Do(ctx, grant.Endpoint, request(j), sending(ctx, j, grant.Endpoint))
 	if failure != nil {
 		f.broken(j, grant.Endpoint, start, failure)
-		return attempt.Ending{Failure: failure}
+		return attempt.Result{Failure: failure}
 	}
 	if resp.Closing && grant.Endpoint.Type == fleet.Engine && f.cfg.OnClosing != nil {
 		f.cfg.OnClosing(grant.Endpoint)
 	}
-	if failure := unfit(resp, j.Delivered.Begun); failure != nil {
+	if failure := unfit(resp, j.Delivered.HeaderSent); failure != nil {
 		resp.Discard()
-		return attempt.Ending{Failure: failure}
+		return attempt.Result{Failure: failure}
 	}
 	out := sink.(job.HeaderSink)
 	if isStream(resp) {
@@ -164,7 +164,7 @@
 		Endpoint:  to.ID,
 		Workspace: j.Workspace,
 		Counted:   true,
-		Left:      j.Left(ctx),
+		Left:      j.TimeRemaining(ctx),
 		Resume:    resume,
 		LastEvent: last,
 	}
@@ -211,21 +211,21 @@
 }
 
 // passWhole reads a plain answer to its end and passes it on.
-func passWhole(j *job.Job, sink job.HeaderSink, resp *upstream.Response, start time.Time) attempt.Ending {
+func passWhole(j *job.Job, sink job.HeaderSink, resp *upstream.Response, start time.Time) attempt.Result {
 	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes+1))
 	if err != nil {
-		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: err}}
+		return attempt.Result{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: err}}
 	}
 	if len(body) > maxAnswerBytes {
-		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.ProtocolError, Err: errors.New("answer too large")}}
+		return attempt.Result{Failure: &attempt.Failure{Kind: retry.ProtocolError, Err: errors.New("answer too large")}}
 	}
 	answer := &attempt.Answer{Status: resp.Status, Header: resp.Header, Body: body}
 	if j.Row.Idempotent && resp.Status >= http.StatusInternalServerError {
 		// Another endpoint may do better.
 		err := errors.Errorf("status %d", resp.Status)
-		return attempt.Ending{Failure: &attempt.Failure{Kind: retry.AnsweredError, Answer: answer, Err: err}}
+		return attempt.Result{Failure: &attempt.Failure{Kind: retry.AnsweredError, Answer: answer, Err: err}}
 	}
-	j.Timings.Progress(j.Arrived, start)
+	j.Timings.RecordProgress(j.ArrivedAt, start)
 	answer.WriteTo(sink)
-	return attempt.Ending{}
+	return attempt.Result{}
 }
--- a/internal/runner/budgets.go
+++ b/internal/runner/budgets.go
@@ -6,13 +6,13 @@
 	"github.com/bridgehoist/bridgehoist/pkg/retry"
 )
 
-// maxBudgets bounds the budgets kept; they are dropped together beyond it,
-// which at worst gives each workspace a new burst.
+// maxBudgets is the maximum number of budgets per map. A map that is full is
+// cleared, which at worst gives each of its keys a new burst.
 const maxBudgets = 8192
 
-// budgets holds a retry budget per workspace and per endpoint, and if a limit is
-// set one per target. Those of an endpoint and of a target are filled by the first
-// attempts of all workspaces there.
+// budgets holds a retry budget per workspace and per endpoint, and one per target
+// if perTarget.Ratio is set. The first attempts of all workspaces refill the
+// budgets of their endpoint and target. It is safe for concurrent use.
 type budgets struct {
 	mu         sync.Mutex
 	perTarget  retry.Budget
@@ -30,55 +30,57 @@
 	}
 }
 
-func get(m map[string]*retry.Budget, key string, fresh func() *retry.Budget) *retry.Budget {
+func getOrCreate(m map[string]*retry.Budget, key string, newBudget func() *retry.Budget) *retry.Budget {
 	if b := m[key]; b != nil {
 		return b
 	}
 	if len(m) >= maxBudgets {
 		clear(m)
 	}
-	b := fresh()
+	b := newBudget()
 	m[key] = b
 	return b
 }
 
 func (b *budgets) target(name string) *retry.Budget {
-	return get(b.targets, name, func() *retry.Budget { return retry.NewBudgetWith(b.perTarget.Ratio, b.perTarget.Burst) })
+	return getOrCreate(b.targets, name, func() *retry.Budget { return retry.NewBudgetWith(b.perTarget.Ratio, b.perTarget.Burst) })
 }
 
-// all are the budgets that one request draws on.
-func (b *budgets) all(workspace, endpoint, target string) []*retry.Budget {
-	out := []*retry.Budget{get(b.workspaces, workspace, retry.NewBudget), get(b.endpoints, endpoint, retry.NewBudget)}
+// forRequest returns the budgets that apply to a request. b.mu must be held.
+func (b *budgets) forRequest(workspace, endpoint, target string) []*retry.Budget {
+	applicable := []*retry.Budget{getOrCreate(b.workspaces, workspace, retry.NewBudget), getOrCreate(b.endpoints, endpoint, retry.NewBudget)}
 	if b.perTarget.Ratio > 0 {
-		out = append(out, b.target(target))
+		applicable = append(applicable, b.target(target))
 	}
-	return out
+	return applicable
 }
 
-// first records the first attempt of a request.
-func (b *budgets) first(workspace, endpoint, target string) {
+// recordFirstAttempt refills the budgets by the first attempt of a request.
+func (b *budgets) recordFirstAttempt(workspace, endpoint, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, one := range b.all(workspace, endpoint, target) {
-		one.RecordFirstAttempt()
+	for _, budget := range b.forRequest(workspace, endpoint, target) {
+		budget.RecordFirstAttempt()
 	}
 }
 
-func (b *budgets) left(workspace, endpoint, target string) bool {
+// available reports whether each of the request's budgets permits a retry.
+func (b *budgets) available(workspace, endpoint, target string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, one := range b.all(workspace, endpoint, target) {
-		if !one.Available() {
+	for _, budget := range b.forRequest(workspace, endpoint, target) {
+		if !budget.Available() {
 			return false
 		}
 	}
 	return true
 }
 
+// spend charges one retry to each of the request's budgets.
 func (b *budgets) spend(workspace, endpoint, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, one := range b.all(workspace, endpoint, target) {
-		one.Spend()
+	for _, budget := range b.forRequest(workspace, endpoint, target) {
+		budget.Spend()
 	}
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner takes one request from admission to its final outcome: it
-// acquires an endpoint, runs the request there, resumes or repeats it as package
-// retry decides, and writes the answer.
+// Package runner runs a request from admission to its final outcome. It acquires
+// an endpoint, makes an attempt there, repeats that as package retry decides, and
+// returns the outcome; the performer writes the answer.
 package runner
 
 import (
@@ -20,88 +20,92 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// charsPerToken estimates the tokens of a prompt, which the system doesn't
-// tokenise.
+// charsPerToken is the assumed number of bytes per token. It serves to estimate a
+// prompt's tokens, since prompts aren't tokenized here.
 const charsPerToken = 4
 
 // Performer makes one attempt at a request at the endpoint of a grant, and
-// passes the answer on.
+// writes the answer to the sink.
 type Performer interface {
-	Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Ending
+	Perform(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant) attempt.Result
 }
 
 // Config holds the settings of a Runner.
 type Config struct {
 	Dispatcher *dispatch.Dispatcher
 	Performer  Performer
-	// OnLeave is told when an endpoint says that it takes no new work.
-	OnLeave func(endpoint string, incarnation uint64)
-	// OnFailure is told of each failed attempt, for metrics.
+	// OnDraining is called when an endpoint reports that it accepts no new requests.
+	OnDraining func(endpoint string, incarnation uint64)
+	// OnFailure is called for each failed attempt, for metrics.
 	OnFailure func(retry.Failure)
-	// OnStep is told what followed a failed attempt, for metrics.
+	// OnStep is called with the step taken after each failed attempt, for metrics.
 	OnStep func(retry.Step)
-	// OnAttempt, if set, is told of each failed attempt and what followed.
+	// OnAttempt, if set, is called for each failed attempt, with the step taken after it.
 	OnAttempt func(j *job.Job, grant dispatch.Grant, f *attempt.Failure, step retry.Step)
-	// Begin, if set, is asked right before each send whether the request may be sent; the
-	// function that it returns is called when that attempt has ended.
-	Begin func(*job.Job) (finish func(), err *outcome.Error)
-	// Budget, if it has a share, bounds the retries of each target.
-	Budget retry.Budget
+	// BeginAttempt, if set, is called right before each attempt. An error forbids the attempt;
+	// otherwise finish is called when the attempt has ended.
+	BeginAttempt func(*job.Job) (finish func(), err *outcome.Error)
+	// TargetBudget limits the retries of each target if its Ratio is positive.
+	TargetBudget retry.Budget
 }
 
-// Runner runs requests.
+// Runner runs requests. It is safe for concurrent use.
 type Runner struct {
 	cfg     Config
 	budgets *budgets
 }
 
-// New makes a runner.
+// New returns a runner with the settings.
 func New(cfg Config) *Runner {
-	return &Runner{cfg: cfg, budgets: newBudgets(cfg.Budget)}
+	return &Runner{cfg: cfg, budgets: newBudgets(cfg.TargetBudget)}
 }
 
-// state follows one request over its attempts.
-type state struct {
-	runs int
-	// sent counts the attempts of which bytes may have reached an endpoint.
-	sent      int
-	uncertain bool
-	avoid     string
-	// released counts the tokens that the caller has, of all attempts.
+// requestState is the state of one request over its attempts.
+type requestState struct {
+	attempts int
+	// sentAttempts counts the attempts of which bytes may have reached an endpoint.
+	sentAttempts int
+	// uncertain is set if an attempt may have run.
+	uncertain        bool
+	excludedEndpoint string
+	// released is the number of tokens sent to the caller, over all attempts.
 	released int
 }
 
-// Run runs a request and writes its answer to the sink. The error is the final
-// outcome if the answer isn't complete.
+// Run runs a request and writes its answer to the sink. It returns nil if the
+// answer is complete, and the final outcome otherwise.
 func (r *Runner) Run(ctx context.Context, j *job.Job, sink job.Sink) *outcome.Error {
 	ctx, cancel := clock.WithDeadline(ctx, j.Deadline())
 	defer cancel()
-	var st state
+	var st requestState
 	for {
 		grant, err := r.acquire(ctx, j, &st)
 		if err != nil {
-			return st.combine(err)
+			return st.weakenRefusal(err)
 		}
-		err, again := r.attempt(ctx, j, sink, grant, &st)
-		if !again {
-			return r.settle(&st, err)
+		err, rerun := r.attempt(ctx, j, sink, grant, &st)
+		if !rerun {
+			return r.checkProof(&st, err)
 		}
-		if !pause.For(ctx, retry.Backoff(st.runs, rand.Float64)) {
-			return st.combine(outcome.NotRunf(outcome.CodeDeadlineUnreachable, "the time is up"))
+		if !pause.For(ctx, retry.Backoff(st.attempts, rand.Float64)) {
+			return st.weakenRefusal(outcome.NotRunf(outcome.CodeDeadlineUnreachable, "the time is up"))
 		}
 	}
 }
 
-// settle checks the proof of NotRun.
-func (r *Runner) settle(st *state, err *outcome.Error) *outcome.Error {
+// checkProof checks the invariant that the outcome NotRun is never reported after
+// an attempt that may have run. It returns err.
+func (r *Runner) checkProof(st *requestState, err *outcome.Error) *outcome.Error {
 	if err != nil && err.Outcome == outcome.NotRun {
 		invariant.Check(!st.uncertain, invariant.NotRunProof, "%v after an uncertain attempt", err)
 	}
 	return err
 }
 
-// combine weakens a refusal if an earlier attempt may have run.
-func (st *state) combine(err *outcome.Error) *outcome.Error {
+// weakenRefusal changes the outcome of a refusal if an earlier attempt may have
+// run: to Incomplete if the caller has received tokens, otherwise to the outcome
+// that httpapi.Weaken sets.
+func (st *requestState) weakenRefusal(err *outcome.Error) *outcome.Error {
 	if !st.uncertain {
 		return err
 	}
@@ -113,14 +117,15 @@
 	return err
 }
 
-func (r *Runner) acquire(ctx context.Context, j *job.Job, st *state) (dispatch.Grant, *outcome.Error) {
+func (r *Runner) acquire(ctx context.Context, j *job.Job, st *requestState) (dispatch.Grant, *outcome.Error) {
 	start := clock.Now()
-	grant, err := r.cfg.Dispatcher.Acquire(ctx, Request(j, st.avoid))
-	j.Timings.Queued += clock.Since(start)
+	grant, err := r.cfg.Dispatcher.Acquire(ctx, Request(j, st.excludedEndpoint))
+	j.Timings.QueueTime += clock.Since(start)
 	return grant, err
 }
 
-// Request makes the scheduler's view of a job.
+// Request returns the scheduler's request for a job. avoid is the id of an
+// endpoint to avoid, or empty.
 func Request(j *job.Job, avoid string) scheduler.Request {
 	req := scheduler.Request{
 		Workspace:      j.Workspace,
@@ -128,10 +133,10 @@
 		Row:            j.Row,
 		PromptTokens:   j.PromptTokens,
 		MaxTokens:      j.MaxTokens,
-		ArrivedAt:      j.Arrived,
+		ArrivedAt:      j.ArrivedAt,
 		Avoid:          avoid,
 		Identity:       j.Identity,
-		AllowedRegions: j.Regions,
+		AllowedRegions: j.AllowedRegions,
 	}
 	if j.Prompt != "" {
 		req.PromptTokens = len(j.Prompt)/charsPerToken + 1
@@ -139,57 +144,59 @@
 	return req
 }
 
-// attempt runs the request once; again says that another run is to follow.
-func (r *Runner) attempt(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *state) (err *outcome.Error, again bool) {
-	finish, refused := r.begin(j)
+// attempt runs the request once. rerun reports whether another attempt follows.
+func (r *Runner) attempt(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *requestState) (err *outcome.Error, rerun bool) {
+	finish, refused := r.beginAttempt(j)
 	if refused != nil {
 		r.cfg.Dispatcher.Finish(grant.ID, scheduler.Result{})
-		return st.combine(refused), false
+		return st.weakenRefusal(refused), false
 	}
 	defer finish()
 	if j.BeforeSend != nil && !j.BeforeSend() {
 		r.cfg.Dispatcher.Finish(grant.ID, scheduler.Result{})
 		return outcome.MayHaveRunf(outcome.CodeStopping, "a second run was prevented"), false
 	}
-	st.runs++
+	st.attempts++
 	j.Endpoint = grant.Endpoint.ID
-	if st.runs == 1 {
-		r.budgets.first(j.Workspace, grant.Endpoint.ID, j.Row.Target)
+	if st.attempts == 1 {
+		r.budgets.recordFirstAttempt(j.Workspace, grant.Endpoint.ID, j.Row.Target)
 	}
 	end := r.cfg.Performer.Perform(ctx, j, sink, grant)
-	r.cfg.Dispatcher.Finish(grant.ID, result(ctx, end))
+	r.cfg.Dispatcher.Finish(grant.ID, schedulerResult(ctx, end))
 	if end.Failure == nil {
 		return nil, false
 	}
 	return r.decide(ctx, j, sink, grant, st, end)
 }
 
-func (r *Runner) begin(j *job.Job) (finish func(), err *outcome.Error) {
-	if r.cfg.Begin == nil {
+func (r *Runner) beginAttempt(j *job.Job) (finish func(), err *outcome.Error) {
+	if r.cfg.BeginAttempt == nil {
 		return func() {}, nil
 	}
-	return r.cfg.Begin(j)
+	return r.cfg.BeginAttempt(j)
 }
 
-// result blames the endpoint for a failure, unless it only drains or wants nothing now, or the
-// caller has gone or the time is up.
-func result(ctx context.Context, e attempt.Ending) scheduler.Result {
+// schedulerResult returns the result to report to the scheduler. A failure counts against the
+// endpoint unless the endpoint is draining or paused, the caller has disconnected, or the
+// deadline has passed.
+func schedulerResult(ctx context.Context, e attempt.Result) scheduler.Result {
 	res := scheduler.Result{Complete: e.Failure == nil, Generated: e.Generated}
 	if e.Failure != nil {
-		res.Failed = !e.Failure.Draining && !e.Failure.Withheld && e.Failure.Kind != retry.CallerGone && ctx.Err() == nil
+		res.Failed = !e.Failure.Draining && !e.Failure.Paused && e.Failure.Kind != retry.CallerGone && ctx.Err() == nil
 		res.Unreachable = res.Failed && e.Failure.Kind == retry.NotSent
 	}
 	return res
 }
 
-func (r *Runner) decide(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *state, end attempt.Ending) (*outcome.Error, bool) {
+// decide returns the outcome after a failed attempt, or true if the request is to be rerun.
+func (r *Runner) decide(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *requestState, end attempt.Result) (*outcome.Error, bool) {
 	f := end.Failure
-	r.tell(grant, f)
+	r.reportFailure(grant, f)
 	if ctx.Err() != nil && f.Kind != retry.NotSent && f.Kind != retry.RefusedBeforeExecution && f.Kind != retry.CallerGone {
 		f.Kind = retry.GenerationLost
 	}
 	if f.Kind != retry.NotSent {
-		st.sent++
+		st.sentAttempts++
 	}
 	st.released += end.Released
 	d := retry.Decide(retry.Attempt{
@@ -197,22 +204,22 @@
 		Idempotent:        j.Row.Idempotent,
 		Resumable:         j.Row.Resumable,
 		Released:          st.released,
-		Attempts:          st.runs,
-		SentAttempts:      st.sent,
+		Attempts:          st.attempts,
+		SentAttempts:      st.sentAttempts,
 		MaxSentAttempts:   j.Row.MaxAttempts,
 		EarlierMayHaveRun: st.uncertain,
-		BudgetAvailable:   r.budgets.left(j.Workspace, grant.Endpoint.ID, j.Row.Target),
-		TimeLeft:          j.Left(ctx),
+		BudgetAvailable:   r.budgets.available(j.Workspace, grant.Endpoint.ID, j.Row.Target),
+		TimeLeft:          j.TimeRemaining(ctx),
 	})
 	r.cfg.OnStep(d.Step)
 	if r.cfg.OnAttempt != nil {
 		r.cfg.OnAttempt(j, grant, f, d.Step)
 	}
-	proven := f.Kind == retry.NotSent || f.Kind == retry.RefusedBeforeExecution
-	if proven && j.NotSent != nil {
-		j.NotSent()
+	provenNotRun := f.Kind == retry.NotSent || f.Kind == retry.RefusedBeforeExecution
+	if provenNotRun && j.OnNotSent != nil {
+		j.OnNotSent()
 	}
-	st.uncertain = st.uncertain || !proven
+	st.uncertain = st.uncertain || !provenNotRun
 	if d.Step == retry.GiveUp && f.Answer != nil {
 		f.Answer.WriteTo(sink.(job.HeaderSink))
 		return nil, false
@@ -221,16 +228,16 @@
 		if f.Kind != retry.NotSent {
 			r.budgets.spend(j.Workspace, grant.Endpoint.ID, j.Row.Target)
 		}
-		st.avoid = grant.Endpoint.ID
+		st.excludedEndpoint = grant.Endpoint.ID
 		return nil, true
 	}
-	return st.failed(ctx, d.Outcome, f), false
+	return st.failure(ctx, d.Outcome, f), false
 }
 
-func (r *Runner) tell(grant dispatch.Grant, f *attempt.Failure) {
+func (r *Runner) reportFailure(grant dispatch.Grant, f *attempt.Failure) {
 	r.cfg.OnFailure(f.Kind)
 	if f.Draining {
-		r.cfg.OnLeave(grant.Endpoint.ID, max(f.Incarnation, grant.Endpoint.Incarnation))
+		r.cfg.OnDraining(grant.Endpoint.ID, max(f.Incarnation, grant.Endpoint.Incarnation))
 	}
 }
 
@@ -244,8 +251,8 @@
 	retry.CallerGone:             outcome.CodeCallerGone,
 }
 
-// failureCode says whether the time was up or the caller had gone, which breaks a
-// connection too, or else what failed.
+// failureCode returns the code of a failed attempt. A passed deadline and a caller that
+// disconnected take precedence, since they break the connection to the endpoint too.
 func failureCode(ctx context.Context, f *attempt.Failure) outcome.Code {
 	switch {
 	case clock.Expired(ctx):
@@ -257,10 +264,10 @@
 	}
 }
 
-// retryAfterFailure is when a caller may come back after endpoints failed it.
+// retryAfterFailure is the Retry-After of a request that failed at its endpoints.
 const retryAfterFailure = time.Second
 
-func (st *state) failed(ctx context.Context, o outcome.Outcome, f *attempt.Failure) *outcome.Error {
+func (st *requestState) failure(ctx context.Context, o outcome.Outcome, f *attempt.Failure) *outcome.Error {
 	err := outcome.New(o, failureCode(ctx, f), "%s: %v", f.Kind, f.Err)
 	err.Delivered = st.released
 	return err.WithRetryAfter(retryAfterFailure)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -19,17 +19,17 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
-// breaking is a performer whose attempts all break off.
-type breaking struct{ attempts int }
+// failingPerformer is a Performer whose attempts all lose the connection.
+type failingPerformer struct{ attempts int }
 
-func (b *breaking) Perform(context.Context, *job.Job, job.Sink, dispatch.Grant) attempt.Ending {
+func (b *failingPerformer) Perform(context.Context, *job.Job, job.Sink, dispatch.Grant) attempt.Result {
 	b.attempts++
-	return attempt.Ending{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: io.ErrUnexpectedEOF}}
+	return attempt.Result{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: io.ErrUnexpectedEOF}}
 }
 
-// TestEachSendIsAskedFor: a request may be contained by what its own first attempt did. It
-// isn't sent again, and its caller isn't told that it hasn't run.
-func TestEachSendIsAskedFor(t *testing.T) {
+// A request may be quarantined because of its own first attempt. It must not be sent again
+// then, and its outcome must not be NotRun, since the first attempt may have run.
+func TestBeginAttemptGuardsEachAttempt(t *testing.T) {
 	for allowed, want := range []outcome.Outcome{outcome.NotRun, outcome.MayHaveRun, outcome.MayHaveRun} {
 		g := NewWithT(t)
 		policy := scheduler.NewRoundRobin()
@@ -37,14 +37,14 @@
 			{ID: "desk-1", Type: fleet.Service, Targets: []string{"desk"}, MaxRunning: 4, State: fleet.Live},
 			{ID: "desk-2", Type: fleet.Service, Targets: []string{"desk"}, MaxRunning: 4, State: fleet.Live},
 		})
-		performer := &breaking{}
+		performer := &failingPerformer{}
 		begun, finished := 0, 0
 		r := runner.New(runner.Config{
 			Dispatcher: dispatch.New(policy),
 			Performer:  performer,
 			OnFailure:  func(retry.Failure) {},
 			OnStep:     func(retry.Step) {},
-			Begin: func(*job.Job) (func(), *outcome.Error) {
+			BeginAttempt: func(*job.Job) (func(), *outcome.Error) {
 				if begun == allowed {
 					return nil, outcome.NotRunf(outcome.CodeQuarantined, "contained")
 				}
@@ -52,7 +52,7 @@
 				return func() { finished++ }, nil
 			},
 		})
-		j := &job.Job{Arrived: time.Now(), Workspace: "w", Kind: "k", Row: table.Row{Kind: "k", Target: "desk", Idempotent: true, Timeout: time.Minute}}
+		j := &job.Job{ArrivedAt: time.Now(), Workspace: "w", Kind: "k", Row: table.Row{Kind: "k", Target: "desk", Idempotent: true, Timeout: time.Minute}}
 		err := r.Run(context.Background(), j, nil)
 		g.Expect(err.Code).To(Equal(outcome.CodeQuarantined))
 		g.Expect(err.Outcome).To(Equal(want))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -138,7 +138,7 @@
 // that wants nothing now not even a connection is opened.
 func (p *Pool) Do(ctx context.Context, e fleet.Endpoint, r *Request, s Sending) (*Response, *attempt.Failure) {
 	if err := p.admit(e, s); err != nil {
-		return nil, &attempt.Failure{Kind: retry.NotSent, Withheld: true, Err: err}
+		return nil, &attempt.Failure{Kind: retry.NotSent, Paused: true, Err: err}
 	}
 	for {
 		c := p.take(e.Instance())
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -87,9 +87,9 @@
 mutant "resume: broken streams not gone on with" pkg/retry/retry.go 's/if a.Released > 0 \&\& !a.Resumable/if a.Released > 0/' "./internal/gateway -run TestAResumable"
 mutant "resume: run again for nobody" pkg/retry/retry.go 's/ || a.Failure == CallerGone {/ {/' ./pkg/retry
 mutant "whole: a handoff takes any answer" internal/relay/pass.go 's/failure := unfit(resp, true)/failure := refused(resp)/' "./internal/gateway -run TestOnlyAStream"
-mutant "whole: a repeat takes any answer" internal/relay/relay.go 's/unfit(resp, j.Delivered.Begun)/unfit(resp, false)/' "./internal/gateway -run TestAnErrorAfter"
+mutant "whole: a repeat takes any answer" internal/relay/relay.go 's/unfit(resp, j.Delivered.HeaderSent)/unfit(resp, false)/' "./internal/gateway -run TestAnErrorAfter"
 mutant "whole: a first copy's target may err" internal/relay/pass.go 's/failure := unfit(resp, true)/failure := unfit(resp, h.Stopped)/' "./internal/gateway -run TestTheTargetOf"
-mutant "whole: a rest without events" internal/relay/pass.go 's/if p.state.Begun \&\& p.state.Events.AwaitingContinuation() {/if false {/' "./internal/gateway -run TestOnlyAStream"
+mutant "whole: a rest without events" internal/relay/pass.go 's/if p.state.HeaderSent \&\& p.state.Events.AwaitingContinuation() {/if false {/' "./internal/gateway -run TestOnlyAStream"
 mutant "whole: another generation joined" pkg/stream/events.go 's/if s.awaitingContinuation \&\& id != s.lastID+1 {/if false {/' "./pkg/stream ./internal/gateway -run Continuation|TestOnlyAStream"
 mutant "whole: events without ids" pkg/stream/events.go 's/if !ok \&\& s.hasID {/if false {/' "./pkg/stream ./internal/gateway -run IDs|TestOnlyAStream"
 mutant "whole: an unknown end is the end" internal/relay/pass.go 's/if h == nil || err == nil \&\& h.ended {/if h == nil || err == nil \&\& !h.Stopped {/' "./internal/gateway -run TestAStreamWithout"
@@ -169,8 +169,8 @@
 mutant "crashing requests: another workspace's are the same" pkg/quarantine/identity.go 's/\[\]byte(workspace), //' ./pkg/quarantine
 mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: keysOut(c.cfg.Beliefs.guard.Keys())//' ./internal/peering
 mutant "crashing requests: told by none but who saw them" internal/peering/server.go 's/resp.RequestFacts, resp.WantedRequestFacts = factsOut(now, missing), keysOut(wanted)/resp.WantedRequestFacts, _ = keysOut(wanted), missing/' ./internal/peering
-mutant "crashing requests: sent again by the runner" internal/runner/runner.go 's/if r.cfg.Begin == nil {/if true {/' ./internal/runner
-mutant "crashing requests: not refused at once" internal/filters/quarantined/quarantined.go 's/if err := guard.Check(job.From(r).Identity); err != nil {/if err := guard.Check(job.From(r).Identity); false {/' ./internal/filters/quarantined
+mutant "crashing requests: sent again by the runner" internal/runner/runner.go 's/if r.cfg.BeginAttempt == nil {/if true {/' ./internal/runner
+mutant "crashing requests: not refused at once" internal/filters/quarantined/quarantined.go 's/if err := guard.Check(job.FromRequest(r).Identity); err != nil {/if err := guard.Check(job.FromRequest(r).Identity); false {/' ./internal/filters/quarantined
 mutant "crashing requests: an announced end counts" internal/crashwatch/crashwatch.go 's/if w.cfg.Expected(at) {/if false {/' ./internal/crashwatch
 mutant "crashing requests: a broken connection counts" internal/crashwatch/crashwatch.go 's/w.cfg.Look(ctx, at) == upstream.Ended/w.cfg.Look(ctx, at) >= 0/' ./internal/crashwatch
 mutant "crashing requests: an end that a start hid doesn't count" internal/crashwatch/crashwatch.go 's/if w.cfg.Over(at) {/if false {/' ./internal/crashwatch
