--- a/internal/evacuate/move.go
+++ b/internal/evacuate/move.go
@@ -102,7 +102,7 @@
 // present.
 func isThrottled(err error) bool {
 	var failure *attempt.Failure
-	return errors.As(err, &failure) && failure.Withheld
+	return errors.As(err, &failure) && failure.Paused
 }
 
 // settleUnansweredStop settles a handoff whose stop got no response. If the stream breaks off,
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -61,7 +61,7 @@
 
 // RunAt implements owner.Remote. If a stream to the owner breaks, it attaches again as long as the
 // owner has answered, at most maxAttachments times in all.
-func (c *Client) RunAt(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
+func (c *Client) Forward(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	address, err := c.ownerAddress(t)
 	if err != nil {
 		return err
