--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -33,12 +33,12 @@
 	if b.ConfigLoaded && !g.cfg.Without.has(mechStranded) {
 		var reach scheduler.Reachability
 		b.UnservableTargets, reach = g.reach()
-		b.Isolated = reach.CutOff
+		b.CutOff = reach.CutOff
 		g.logReach(reach)
 	}
 	now := readiness.Decide(b)
 	if before := readiness.State(g.lastState.Swap(int32(now))); before != now {
-		g.log.Info("readiness", "state", now, "before", before, "unservable", b.UnservableTargets, "cut_off", b.Isolated, "fleet", g.fleetRevision())
+		g.log.Info("readiness", "state", now, "before", before, "unservable", b.UnservableTargets, "cut_off", b.CutOff, "fleet", g.fleetRevision())
 	}
 	return now
 }
--- a/pkg/readiness/example_test.go
+++ b/pkg/readiness/example_test.go
@@ -7,10 +7,10 @@
 )
 
 func ExampleDecide() {
-	b := readiness.Conditions{CaughtUp: true, ConfigLoaded: true, Isolated: true}
-	fmt.Println(readiness.Decide(b))
-	b.UnservableTargets = []string{"registry"}
-	fmt.Println(readiness.Decide(b))
+	c := readiness.Conditions{CaughtUp: true, ConfigLoaded: true, CutOff: true}
+	fmt.Println(readiness.Decide(c))
+	c.UnservableTargets = []string{"registry"}
+	fmt.Println(readiness.Decide(c))
 	// Output:
 	// ready
 	// stranded
--- a/pkg/readiness/readiness.go
+++ b/pkg/readiness/readiness.go
@@ -3,8 +3,8 @@
 // # Design
 //
 // An entry serves every request that it receives, ready or not; readiness only directs
-// the load balancer's new connections. An entry is therefore unready while other
-// entries are likely to serve better:
+// the load balancer's new connections. An entry is therefore unready while its
+// peers are likely to serve better:
 //
 //	[starting] --caught up, config loaded--> [ready] --stop--> [stopping]
 //	                                           |  ^
@@ -12,13 +12,12 @@
 //	      other data centre can be reached     v  |  another data centre is reachable
 //	                                         [stranded]
 //
-// The stranded state covers a network partition that isolates a data centre without
+// The stranded state covers a network partition that cuts off a data centre without
 // endpoints of some target. Its entries can only refuse requests for that target, while
-// callers still reach the other data centres, where the endpoints are. An isolated
-// entry that can serve all targets stays ready, since an isolated data centre should
-// serve what it can. A target that fails in all data centres doesn't make an entry
-// unready either: no other entry would serve it, and the other data centres are
-// still reachable.
+// callers still reach the other data centres, where the endpoints are. An entry that is
+// cut off but can serve all targets stays ready, since its data centre should serve what
+// it can. A target that fails in all data centres doesn't make an entry unready either:
+// no peer would serve it, and the other data centres are still reachable.
 package readiness
 
 // State is the readiness of an entry for new connections.
@@ -48,8 +47,8 @@
 	// UnservableTargets holds the targets that have endpoints, none of which is
 	// reachable.
 	UnservableTargets []string
-	// Isolated is set if no endpoint of any other data centre is reachable.
-	Isolated bool
+	// CutOff is set if no endpoint of any other data centre is reachable.
+	CutOff bool
 }
 
 // Decide returns the state of an entry under the given conditions.
@@ -59,7 +58,7 @@
 		return Stopping
 	case !c.CaughtUp || !c.ConfigLoaded:
 		return Starting
-	case c.Isolated && len(c.UnservableTargets) > 0:
+	case c.CutOff && len(c.UnservableTargets) > 0:
 		return Stranded
 	default:
 		return Ready
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -97,7 +97,7 @@
 mutant "whole: the end of an error awaited" internal/upstream/pool.go 's/discardTimeout = 20 \* time.Millisecond/discardTimeout = time.Minute/' "./internal/gateway -run TestAnErrorThat"
 mutant "refusals: held though nobody serves" pkg/scheduler/versions.go 's/c.RefuseUnservable = true/c.RefuseUnservable = false/' ./pkg/scheduler
 mutant "data centres: each endpoint learnt alone" pkg/scheduler/versions.go 's/c.DataCenterBreakers = true/c.DataCenterBreakers = false/' ./pkg/scheduler
-mutant "readiness: stranded entries ready" pkg/readiness/readiness.go 's/case c.Isolated \&\& len(c.UnservableTargets) > 0:/case false:/' ./pkg/readiness
+mutant "readiness: stranded entries ready" pkg/readiness/readiness.go 's/case c.CutOff \&\& len(c.UnservableTargets) > 0:/case false:/' ./pkg/readiness
 mutant "bursts: prompts sent wherever" pkg/scheduler/versions.go 's/c.EnforceStartObjective = true/c.EnforceStartObjective = false/' ./pkg/scheduler
 mutant "bursts: others' work forgotten" pkg/scheduler/scheduler.go 's/if s.cfg.PeerLoadFromReports || s.cfg.PeerLoadFromReportsAndNotices {/if false {/' ./pkg/scheduler
 mutant "bursts: read rates not learnt" pkg/scheduler/prefill_rate.go 's/return max(s.cfg.PrefillRate, s.queue(target).learnedPrefillRate)/return s.cfg.PrefillRate/' ./pkg/scheduler
