--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -34,13 +34,13 @@
 	// Local is set if the endpoint is in the entry's own data centre.
 	Local bool
 	// Fits is set if the endpoint's projected memory and number of running
-	// requests leave room for the request.
+	// requests stay within its capacity with the request added.
 	Fits bool
 	// Utilization is the projected use of the endpoint's memory or concurrency
 	// limit as a part of capacity; it may exceed 1.
 	Utilization float64
-	// Slowness is the endpoint's time between tokens relative to that of the
-	// other endpoints; 1 is typical.
+	// Slowness is the endpoint's inter-token latency relative to the mean of the
+	// endpoints; it is 1 if unknown.
 	Slowness float64
 	// PrefillBacklog is the number of prompt tokens that the endpoint has to
 	// process before it can start another request.
@@ -87,12 +87,12 @@
 // Score implements Scorer.
 func (Headroom) Score(_ *Request, c *Candidate) float64 { return 1 - min(c.Utilization, 1.5) }
 
-// TokenLatency lowers the score of candidates with a longer time between tokens
-// than is typical.
-type TokenLatency struct{}
+// InterTokenLatency lowers the score of candidates whose inter-token latency is above
+// the mean.
+type InterTokenLatency struct{}
 
 // Score implements Scorer.
-func (TokenLatency) Score(_ *Request, c *Candidate) float64 {
+func (InterTokenLatency) Score(_ *Request, c *Candidate) float64 {
 	return 1 / max(c.Slowness, 1)
 }
 
@@ -140,7 +140,7 @@
 func LocalFirst() Pipeline {
 	return Pipeline{
 		Filters: []Filter{Available{}, FitsCapacity{}},
-		Scorers: []WeightedScorer{{Headroom{}, 1}, {TokenLatency{}, 1}},
+		Scorers: []WeightedScorer{{Headroom{}, 1}, {InterTokenLatency{}, 1}},
 		Jitter:  0.15,
 	}
 }
@@ -149,10 +149,10 @@
 // things being equal, a local candidate is preferred until its utilization
 // exceeds that of a remote one by localityWeight.
 const (
-	localityWeight     = 0.5
-	tokenLatencyWeight = 1.0
-	prefillScaleTokens = 8000
-	acrossJitter       = 0.05
+	localityWeight          = 0.5
+	interTokenLatencyWeight = 1.0
+	prefillScaleTokens      = 8000
+	acrossDataCentersJitter = 0.05
 )
 
 // AcrossDataCenters returns the pipeline of entries that send work to all data
@@ -161,9 +161,9 @@
 func AcrossDataCenters() Pipeline {
 	return Pipeline{
 		Filters:        []Filter{Available{}, FitsCapacity{}},
-		Scorers:        []WeightedScorer{{Headroom{}, 1}, {PrefillBacklog{prefillScaleTokens}, 1}, {TokenLatency{}, tokenLatencyWeight}, {Locality{}, localityWeight}},
+		Scorers:        []WeightedScorer{{Headroom{}, 1}, {PrefillBacklog{prefillScaleTokens}, 1}, {InterTokenLatency{}, interTokenLatencyWeight}, {Locality{}, localityWeight}},
 		AllDataCenters: true,
-		Jitter:         acrossJitter,
+		Jitter:         acrossDataCentersJitter,
 	}
 }
 
@@ -179,6 +179,9 @@
 	return p.best(rng, r, candidates, false)
 }
 
+// best returns the Index of the eligible candidate with the highest score, or None.
+// Unless AllDataCenters is set, it considers only local candidates, or only remote
+// ones if local is false.
 func (p *Pipeline) best(rng *rand.Rand, r *Request, candidates []Candidate, local bool) int {
 	index := None
 	highScore := math.Inf(-1)
