--- a/pkg/stream/events_test.go
+++ b/pkg/stream/events_test.go
@@ -103,7 +103,7 @@
 	g.Expect(count).To(Equal(2))
 }
 
-func TestSplitterHoldsBackPartialEvent(t *testing.T) {
+func TestSplitterBuffersPartialEvent(t *testing.T) {
 	g := NewWithT(t)
 	var s stream.Splitter
 	events, count, err := s.Feed([]byte(event(1) + "id: 2\ndata: ha"))
