--- a/pkg/retry/breaker.go
+++ b/pkg/retry/breaker.go
@@ -8,7 +8,8 @@
 // BreakerState is the state of a circuit breaker.
 type BreakerState int
 
-// The states. A probe that neither succeeds nor fails is followed by another one.
+// The states. An inconclusive probe doesn't change the state if it ends within
+// initialCoolDown; else it counts as failed.
 //
 //	[closed] --consecutive failures--> [open] --cool-down--> [half-open]
 //	    ^                                ^                      |   |
@@ -38,8 +39,8 @@
 	probeTimeout = 10 * time.Second
 )
 
-// Breaker is a circuit breaker that keeps requests away from an endpoint that
-// fails. The zero value is closed. A Breaker is not safe for concurrent use.
+// Breaker is a circuit breaker that blocks requests to a failing endpoint. The zero
+// value is closed. A Breaker is not safe for concurrent use.
 type Breaker struct {
 	// FailureThreshold is the number of consecutive failures that opens the breaker;
 	// zero is defaultFailureThreshold.
@@ -115,7 +116,7 @@
 // RecordInconclusive records that a request ended without showing whether the endpoint
 // has recovered, because its caller disconnected or the endpoint takes no new work.
 // Another probe may be sent at once, unless this one ended initialCoolDown or later
-// after it was sent: an endpoint that is silent for so long counts as failed.
+// after it was sent: an endpoint that doesn't respond within that time counts as failed.
 func (b *Breaker) RecordInconclusive(now time.Time) {
 	if b.probeInFlight && now.Sub(b.probeSentAt) >= initialCoolDown {
 		b.RecordFailure(now)
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -27,7 +27,7 @@
 	// be running.
 	LinkLost
 	// GenerationLost means that the endpoint no longer has the generation, or that the
-	// endpoint itself has ended.
+	// endpoint itself has terminated.
 	GenerationLost
 	// ProtocolError means that the endpoint's reply violates the protocol.
 	ProtocolError
@@ -145,7 +145,7 @@
 	return outcome.MayHaveRun
 }
 
-// String returns the name of the step in metrics.
+// String returns the name of the step in metrics, which is "again" for Rerun.
 func (s Step) String() string {
 	return [...]string{"give_up", "resume", "again"}[s]
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestBudgetIsAShareOfFirstAttempts(t *testing.T) {
+func TestBudgetLimitsRetriesToShareOfFirstAttempts(t *testing.T) {
 	g := NewWithT(t)
 	b := retry.NewBudget()
 	retries := 0
