--- a/pkg/fencing/example_test.go
+++ b/pkg/fencing/example_test.go
@@ -14,8 +14,8 @@
 		fmt.Println(err)
 		return
 	}
-	b := fencing.FleetSnapshot{Revision: 12, List: list}
-	for _, o := range fencing.Plan(b, "hall", []fencing.EngineReport{{Endpoint: "engine-1", Fencing: 9}}, 2) {
+	snapshot := fencing.FleetSnapshot{Revision: 12, List: list}
+	for _, o := range fencing.Plan(snapshot, "hall", []fencing.EngineReport{{Endpoint: "engine-1", Fencing: 9}}, 2) {
 		fmt.Println(o.Endpoint.ID, o.Fencing, o.Desired)
 	}
 	// Output: engine-1 12 [m]
--- a/pkg/fencing/fencing_test.go
+++ b/pkg/fencing/fencing_test.go
@@ -84,14 +84,14 @@
 
 func TestConcurrentLoadsAreLimited(t *testing.T) {
 	g := NewWithT(t)
-	b := fencing.FleetSnapshot{Revision: 1, List: newFleetList(g, 1, 6, "m")}
+	snapshot := fencing.FleetSnapshot{Revision: 1, List: newFleetList(g, 1, 6, "m")}
 	reports := make([]fencing.EngineReport, 6)
 	for i := range reports {
 		reports[i].Endpoint = fmt.Sprint("e", i)
 	}
 	reports[5].Loading = []string{"m"}
-	g.Expect(fencing.Plan(b, "hall", reports, 2)).To(HaveLen(1))
-	g.Expect(fencing.Plan(b, "hall", reports, 4)).To(HaveLen(3))
+	g.Expect(fencing.Plan(snapshot, "hall", reports, 2)).To(HaveLen(1))
+	g.Expect(fencing.Plan(snapshot, "hall", reports, 4)).To(HaveLen(3))
 }
 
 func TestOneOrdererPerRevision(t *testing.T) {
--- a/pkg/lengths/lengths.go
+++ b/pkg/lengths/lengths.go
@@ -309,7 +309,7 @@
 }
 
 // End records an output that is complete with length tokens. It must not be
-// called for an output that was cut short, whose full length is unknown.
+// called for a truncated output, whose full length is unknown.
 func (r *Tracker) End(length int) {
 	r.Advance(length)
 	r.group.recordEnded(r.bucket)
@@ -331,10 +331,10 @@
 
 func project(g *group, prompt, generated int) Projection {
 	s := g.survival()
-	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	currentSurvival := max(survivalAt(s, float64(generated)), 1e-9)
 	var projection Projection
 	for i, h := range Horizons {
-		running := min(survivalAt(s, float64(generated)+h)/reachedNow, 1)
+		running := min(survivalAt(s, float64(generated)+h)/currentSurvival, 1)
 		tokens := float64(prompt+generated) + h
 		projection.Mean[i] = running * tokens
 		projection.Variance[i] = running * (1 - running) * tokens * tokens
@@ -346,12 +346,12 @@
 // has produced generated tokens.
 func (e *Estimator) Remaining(k Key, generated int) float64 {
 	s := e.group(k).survival()
-	reachedNow := max(survivalAt(s, float64(generated)), 1e-9)
+	currentSurvival := max(survivalAt(s, float64(generated)), 1e-9)
 	b := bucketIndex(generated)
-	currentBucket := (bucketBounds[b+1] - float64(generated)) * (reachedNow + s[b+1]) / 2
+	currentBucket := (bucketBounds[b+1] - float64(generated)) * (currentSurvival + s[b+1]) / 2
 	sum := currentBucket
 	for i := b + 1; i < numBuckets; i++ {
 		sum += (bucketBounds[i+1] - bucketBounds[i]) * (s[i] + s[i+1]) / 2
 	}
-	return sum / reachedNow
+	return sum / currentSurvival
 }
--- a/pkg/limits/limits.go
+++ b/pkg/limits/limits.go
@@ -4,10 +4,9 @@
 // admits a request if the sum of both is below the limit. While the sum is
 // uncertain, because a peer in it has sent no update for a while, the entry also
 // admits requests up to a floor, the limit divided by the number of published
-// entries, so that the last usage received from a peer that has ended can't block
-// it. Limits are soft: usage may exceed a limit by what the entries admit while
-// updates are in transit, and in a network partition each side may use the whole
-// limit.
+// entries, so that the last usage received from a terminated peer can't block it. Limits
+// are soft: usage may exceed a limit by what the entries admit while updates are in
+// transit, and in a network partition each side may use the whole limit.
 //
 // Only usage close enough to its limit to matter is published, the most utilized
 // limits first, and at most MaxPublished of them.
@@ -44,7 +43,8 @@
 // Counter holds one entry's own usage and its view of its peers'. It is not safe
 // for concurrent use.
 type Counter struct {
-	// own is the entry's own usage, and limits the limit at its last Acquire.
+	// own is the entry's own usage of each limit, and limits holds the value of the
+	// limit in the last Acquire.
 	own    map[Key]int
 	limits map[Key]int
 	// peers holds the usage of each peer by VM, and peerSums their sum.
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -91,8 +91,8 @@
 	g.Expect(c.Allows(key, 20)).To(BeTrue())
 }
 
-// The small usage of many entries must be published, else it adds up beyond the
-// limit unnoticed.
+// The small usage of many entries must be published, else their sum can exceed the
+// limit although it is below the limit in each entry's view.
 func TestManySmallUsagesArePublished(t *testing.T) {
 	g := NewWithT(t)
 	const entries, limit = 100, 64
@@ -101,13 +101,13 @@
 		counters[i] = limits.New()
 		counters[i].SetEntryCount(entries)
 	}
-	taken := 0
+	admitted := 0
 	for _, c := range counters {
 		if c.Allows(key, limit) {
 			c.Acquire(key, limit)
-			taken++
+			admitted++
 		}
 		exchangeUsage(counters, 1)
 	}
-	g.Expect(taken).To(Equal(limit))
+	g.Expect(admitted).To(Equal(limit))
 }
