--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -2,11 +2,11 @@
 // the entries of the engine's data centre, and the load of the local engines, periodically to one
 // entry of each other data centre.
 //
-// Load reports are half a second old when they are read, and the exchange between entries adds as
+// Load reports are half a second old when they are used, and the exchange between entries adds as
 // much. An engine prefills a prompt within that time, so that entries which rely on reports alone
 // all send to the engine that was idle a second ago. A notice is one small datagram to each entry
-// of the data centre. Nothing depends on its delivery: after a lost notice an engine looks
-// slightly less loaded than it is, and a forged one makes it look more loaded for some seconds.
+// of the data centre. Nothing depends on its delivery: after a lost notice an engine appears
+// slightly less loaded than it is, and after a forged one more loaded for some seconds.
 //
 // Announcing each prompt to the entries of other data centres would take as many datagrams as
 // there are entries. These entries receive the engines' loads instead, one randomly picked entry
@@ -39,7 +39,7 @@
 	// maxDatagramBytes bounds a datagram so that it isn't fragmented. A prompt notice takes about
 	// ten bytes, and the load of an engine about twelve.
 	maxDatagramBytes = 1400
-	// maxNoticeTokens caps the tokens accepted from one notice.
+	// maxNoticeTokens caps the tokens accepted from one notice, as senders are not authenticated.
 	maxNoticeTokens = 1 << 17
 )
 
--- a/internal/published/changes.go
+++ b/internal/published/changes.go
@@ -72,8 +72,8 @@
 }
 
 // asChanges returns the value as changes since a revision, if allowChanges is set, the log covers
-// that revision and the changes are short enough. Otherwise it returns the value in full. The
-// caller holds the lock.
+// that revision and the changes are within maxChangesRatio. Otherwise it returns the value in full.
+// The caller holds the lock.
 func (s *Store) asChanges(v Value, after revision.ID, allowChanges bool) Value {
 	v.Certain = s.isCertain(v.Name)
 	logged := after != 0 && s.log.base != 0 && after >= s.log.base && after.Epoch() == v.Revision.Epoch()
@@ -89,8 +89,8 @@
 	return v
 }
 
-// isCertain reports whether the newest value of this name is known to have been written in its
-// era. The caller holds the lock.
+// isCertain reports whether the newest value of this name was certainly written in its era; see
+// Value.Certain. The caller holds the lock.
 func (s *Store) isCertain(name string) bool {
 	if name == Table {
 		return s.table.Certain()
@@ -99,7 +99,7 @@
 }
 
 // patch turns a value that came as changes into a full one. It reports false if the value is not
-// newer than the one held here. It also reports false, and requests the full value, if the
+// newer than the stored one. It also reports false, and requests the full value, if the
 // changes can't be decoded, apply to a later revision or another epoch, or give a content whose
 // hash differs from the sender's. The caller holds the lock.
 func (s *Store) patch(v Value) (Value, bool) {
--- a/internal/published/changes_test.go
+++ b/internal/published/changes_test.go
@@ -24,7 +24,7 @@
 }
 
 func newTestEntry() *testEntry {
-	r := &testEntry{registry: fleet.NewRegistry()}
+	e := &testEntry{registry: fleet.NewRegistry()}
 	parse := func(content []byte) (*fleet.List, error) {
 		records, err := fleet.DecodeRecords(content)
 		if err != nil {
@@ -33,36 +33,36 @@
 		list, _ := fleet.FromRecords(records, func(id string, _ []byte) (fleet.Endpoint, error) { return fleet.Endpoint{ID: id}, nil })
 		return list, nil
 	}
-	r.store = published.New(published.Config{ParseTable: func([]byte) (*table.Table, error) { return nil, nil }, ParseFleet: parse},
+	e.store = published.New(published.Config{ParseTable: func([]byte) (*table.Table, error) { return nil, nil }, ParseFleet: parse},
 		func(published.Event) {}, func(*fleet.List, time.Time) {})
-	return r
+	return e
 }
 
 // readHistory reads all changes of the history, as a watch does, or a full list.
-func (r *testEntry) readHistory(g *WithT, history []fleet.Record, full bool) {
-	if v, ok := r.store.Get(published.Fleet); ok {
-		g.Expect(r.registry.Adopt(v.Content, v.Revision)).To(Succeed())
+func (e *testEntry) readHistory(g *WithT, history []fleet.Record, full bool) {
+	if v, ok := e.store.Get(published.Fleet); ok {
+		g.Expect(e.registry.Adopt(v.Content, v.Revision)).To(Succeed())
 	}
-	base := r.registry.Revision()
+	base := e.registry.Revision()
 	i, _ := slices.BinarySearchFunc(history, base.Number()+1, func(c fleet.Record, number uint64) int { return int(c.Revision) - int(number) })
-	if !r.registry.Apply(base, history[i:]) {
+	if !e.registry.Apply(base, history[i:]) {
 		return
 	}
-	content, err := r.registry.Encode()
+	content, err := e.registry.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	v := published.Value{Name: published.Fleet, Revision: r.registry.Revision(), Content: content}
+	v := published.Value{Name: published.Fleet, Revision: e.registry.Revision(), Content: content}
 	if !full {
 		v.Base = base
 		v.Changes, err = fleet.EncodeChanges(history[i:])
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	r.store.OfferFromStore(time.Now(), v, "platform")
+	e.store.OfferFromStore(time.Now(), v, "platform")
 }
 
 // pull offers the entry all newer values of another entry. It returns the number of bytes sent,
 // and whether they were sent as changes.
-func (r *testEntry) pull(from *testEntry) (bytes int, changes bool) {
-	for _, v := range from.store.NewerThan(r.store.SeenRevisions(), true) {
+func (e *testEntry) pull(from *testEntry) (bytes int, changes bool) {
+	for _, v := range from.store.NewerThan(e.store.SeenRevisions(), true) {
 		if v.Content == nil {
 			changes = true
 			bytes += len(v.Changes)
@@ -70,13 +70,13 @@
 			v.Base, v.Changes = 0, nil
 			bytes += len(v.Content)
 		}
-		r.store.OfferFromPeer(time.Now(), v, "peer")
+		e.store.OfferFromPeer(time.Now(), v, "peer")
 	}
 	return bytes, changes
 }
 
-func (r *testEntry) content() string {
-	v, _ := r.store.Get(published.Fleet)
+func (e *testEntry) content() string {
+	v, _ := e.store.Get(published.Fleet)
 	return string(v.Content)
 }
 
@@ -194,33 +194,33 @@
 	return slices.Collect(maps.Values(last))
 }
 
-// readPlatform reads a full list if requested, or if the store is of another era than the value
-// held; otherwise it reads the changes.
-func (r *testEntry) readPlatform(g *WithT, p *testPlatform, full bool) {
-	if v, ok := r.store.Get(published.Fleet); ok {
-		g.Expect(r.registry.Adopt(v.Content, v.Revision)).To(Succeed())
+// readPlatform reads a full list if requested, or if the store is of another era than the
+// entry's value; otherwise it reads the changes.
+func (e *testEntry) readPlatform(g *WithT, p *testPlatform, full bool) {
+	if v, ok := e.store.Get(published.Fleet); ok {
+		g.Expect(e.registry.Adopt(v.Content, v.Revision)).To(Succeed())
 	}
-	base := r.registry.Revision()
+	base := e.registry.Revision()
 	rev, err := revision.New(p.era, uint64(len(p.history)))
 	g.Expect(err).NotTo(HaveOccurred())
 	v := published.Value{Name: published.Fleet}
 	if full || base.Era() != p.era || base == 0 {
-		if !r.registry.Replace(p.records(), rev) {
+		if !e.registry.Replace(p.records(), rev) {
 			return
 		}
 	} else {
 		i, _ := slices.BinarySearchFunc(p.history, base.Number()+1, func(c fleet.Record, number uint64) int { return int(c.Revision) - int(number) })
-		if !r.registry.Apply(rev, p.history[i:]) {
+		if !e.registry.Apply(rev, p.history[i:]) {
 			return
 		}
 		v.Base = base
 		v.Changes, err = fleet.EncodeChanges(p.history[i:])
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	v.Revision = r.registry.Revision()
-	v.Content, err = r.registry.Encode()
+	v.Revision = e.registry.Revision()
+	v.Content, err = e.registry.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	r.store.OfferFromStore(time.Now(), v, "platform")
+	e.store.OfferFromStore(time.Now(), v, "platform")
 }
 
 // TestEntriesConvergeAcrossRestores checks that entries which exchange values while the
--- a/internal/published/pacing.go
+++ b/internal/published/pacing.go
@@ -55,7 +55,7 @@
 	return s.pacer.nextApply, s.pacer.deferred
 }
 
-// ApplyDeferred puts the deferred fleet list into force if its time has come.
+// ApplyDeferred puts the deferred fleet list into force if it is due.
 func (s *Store) ApplyDeferred(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -96,8 +96,8 @@
 	// reported once.
 	reportedStale map[string]revision.ID
 	log           changeLog
-	// needsFullFleet is set when received changes didn't fit the fleet list held here; the full
-	// list is then requested from peers.
+	// needsFullFleet is set when received changes did not apply to the stored fleet list; the
+	// full list is then requested from peers.
 	needsFullFleet bool
 	pacer          applyPacer
 	// onDeferred, if set, is called when a fleet list is deferred until ApplyDeferred is due.
@@ -167,8 +167,9 @@
 	source string
 }
 
-// offerLocked offers a value to its register. It first applies changes to the value held here,
-// and defers a fleet list that comes too early. The caller holds the lock.
+// offerLocked offers a value to its register. It first applies changes to the stored value,
+// and defers a fleet list that arrives within the interval of applyPacer. The caller holds the
+// lock.
 func (s *Store) offerLocked(now time.Time, v Value, source string, origin register.Source) register.Verdict {
 	if v.FirstReadAt.IsZero() {
 		v.FirstReadAt = now
@@ -180,7 +181,7 @@
 		}
 	}
 	if v.Name == Fleet {
-		// The value came in full, or its changes fit the list held here.
+		// The value came in full, or its changes apply to the stored list.
 		s.needsFullFleet = false
 		if s.pacer.deferred && v.Revision <= s.newest[Fleet].Revision {
 			return register.Known
