--- a/internal/controllers/catchup.go
+++ b/internal/controllers/catchup.go
@@ -7,10 +7,10 @@
 
 const (
 	// peerSyncTimeout is how long peers have to send the values before the platform is read.
-	// Peers that have the values answer within 100 ms. After a failure of all entries no peer has
-	// them, or one doesn't answer, and a longer timeout would delay the start.
+	// Peers that have the values answer within 100 ms. After a failure of all entries, no peer has
+	// them or some do not answer, and a longer timeout would delay the start.
 	peerSyncTimeout = 150 * time.Millisecond
-	// readyCheckInterval is how often Ready is checked while peers are asked.
+	// readyCheckInterval is how often Ready is checked during the sync with peers.
 	readyCheckInterval = 10 * time.Millisecond
 )
 
@@ -23,23 +23,23 @@
 	Ready func() bool
 }
 
-// Run makes one attempt. It returns as soon as the values are in force, or when both the peers
-// and the platform have been asked.
+// Run makes one attempt. It returns as soon as the values are in force, or after reading the
+// platform.
 func (c *CatchUp) Run(ctx context.Context) {
 	peersDone := make(chan struct{})
 	go func() {
 		defer close(peersDone)
 		c.SyncWithPeers(ctx)
 	}()
-	c.await(ctx, peersDone)
+	c.waitForPeers(ctx, peersDone)
 	if !c.Ready() {
 		c.ReadStore(ctx)
 	}
 }
 
-// await waits until the values are in force, all peers have been asked, or peerSyncTimeout has
-// passed.
-func (c *CatchUp) await(ctx context.Context, peersDone <-chan struct{}) {
+// waitForPeers waits until the values are in force, the sync with peers has ended, or
+// peerSyncTimeout has passed.
+func (c *CatchUp) waitForPeers(ctx context.Context, peersDone <-chan struct{}) {
 	timeout := time.After(peerSyncTimeout)
 	ticker := time.NewTicker(readyCheckInterval)
 	defer ticker.Stop()
--- a/internal/controllers/controllers.go
+++ b/internal/controllers/controllers.go
@@ -38,8 +38,8 @@
 
 // Exchange periodically renews the entry's own record and reconciles its state with peers.
 type Exchange struct {
-	PeerState *peering.ClusterState
-	Client    *peering.Client
+	ClusterState *peering.ClusterState
+	Client       *peering.Client
 	// Inherited lists the incarnations whose tickets this entry took over; nil if it took over
 	// none.
 	Inherited func() [][]byte
@@ -48,9 +48,9 @@
 	// sync, in a round in which no peer answers, and for as long as no member has that address;
 	// see contactUnknownSeeds.
 	SeedPeers []string
-	// OnRound is called after each round with the number of peers that answered and of those
-	// asked.
-	OnRound func(answered, asked int)
+	// OnRound is called after each round with the number of peers that answered and the number
+	// that were called.
+	OnRound func(answered, attempted int)
 	// RoundRequests signals that a round is requested; see RequestRound. It needs a buffer of
 	// one.
 	RoundRequests chan struct{}
@@ -85,9 +85,9 @@
 }
 
 func (c *Exchange) round(ctx context.Context) {
-	c.PeerState.Heartbeat(clock.Now(), c.inherited())
-	answered, asked := c.Client.Round(ctx)
-	c.OnRound(answered, asked)
+	c.ClusterState.Heartbeat(clock.Now(), c.inherited())
+	answered, attempted := c.Client.Round(ctx)
+	c.OnRound(answered, attempted)
 	if answered == 0 && len(c.SeedPeers) > 0 {
 		c.Client.Reconcile(ctx, c.seeds())
 	}
@@ -96,15 +96,15 @@
 const (
 	// initialSeedBackoff is the delay until unknown seeds are contacted again for the first time:
 	// a process takes some 20 ms from its start until it listens. The backoff doubles up to
-	// maxSeedBackoff, since a seed may be gone for good: with 66 entries, such a seed gets seven
-	// calls a second.
+	// maxSeedBackoff, since a seed may never return: with 66 entries, such a seed gets seven calls a
+	// second.
 	initialSeedBackoff = 50 * time.Millisecond
 	maxSeedBackoff     = 10 * time.Second
 )
 
 // contactUnknownSeeds repeatedly contacts the seeds that are not members. Otherwise entries that
-// know each other but started before a seed listened would never find it, and if it has no seeds
-// itself, it wouldn't find them either: three entries that started within 7 ms of each other
+// have discovered each other before a seed listened would never discover it, nor would a seed
+// without seeds of its own discover them: three entries that started within 7 ms of each other
 // formed two separate views for 1.8 s.
 func (c *Exchange) contactUnknownSeeds(ctx context.Context) {
 	for backoff := initialSeedBackoff; pause.For(ctx, backoff); backoff = min(2*backoff, maxSeedBackoff) {
@@ -116,13 +116,13 @@
 
 // unknownSeeds returns the seeds that are not members.
 func (c *Exchange) unknownSeeds() []membership.Contact {
-	known := map[string]bool{}
-	c.PeerState.WithView(func(v *membership.View) {
+	memberAddresses := map[string]bool{}
+	c.ClusterState.WithView(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
-			known[m.Address] = true
+			memberAddresses[m.Address] = true
 		}
 	})
-	return slices.DeleteFunc(c.seeds(), func(s membership.Contact) bool { return known[s.Address] })
+	return slices.DeleteFunc(c.seeds(), func(s membership.Contact) bool { return memberAddresses[s.Address] })
 }
 
 func (c *Exchange) inherited() [][]byte {
@@ -145,10 +145,10 @@
 // runs before the entry becomes ready, because peers may have newer values than the platform
 // replica that the entry reads.
 func (c *Exchange) InitialSync(ctx context.Context, dataCenter string) {
-	c.PeerState.Heartbeat(clock.Now(), c.inherited())
+	c.ClusterState.Heartbeat(clock.Now(), c.inherited())
 	c.Client.Reconcile(ctx, c.seeds())
 	var local, remote []membership.Contact
-	c.PeerState.WithView(func(v *membership.View) {
+	c.ClusterState.WithView(func(v *membership.View) {
 		for _, s := range v.Seeds() {
 			if s.DataCenter == dataCenter {
 				local = append(local, s)
@@ -163,10 +163,10 @@
 
 // AnnounceLeft announces to all live members that the entry has left.
 func (c *Exchange) AnnounceLeft(ctx context.Context) {
-	c.PeerState.SetState(peerv1.NodeState_NODE_STATE_LEFT)
-	c.PeerState.Heartbeat(clock.Now(), nil)
+	c.ClusterState.SetNodeState(peerv1.NodeState_NODE_STATE_LEFT)
+	c.ClusterState.Heartbeat(clock.Now(), nil)
 	var peers []membership.Contact
-	c.PeerState.WithView(func(v *membership.View) {
+	c.ClusterState.WithView(func(v *membership.View) {
 		for _, m := range v.Members(clock.Now()) {
 			if m.Status == membership.Alive {
 				peers = append(peers, m.Contact)
--- a/internal/controllers/load_poller.go
+++ b/internal/controllers/load_poller.go
@@ -19,19 +19,19 @@
 	pollTimeout        = time.Second
 )
 
-// LoadReader fetches the load report of an engine and whether the engine is leaving, that is,
+// LoadFetcher fetches the load report of an engine and whether the engine is leaving, that is,
 // accepts no new work.
-type LoadReader func(ctx context.Context, e fleet.Endpoint) (r scheduler.Report, leaving bool, err error)
+type LoadFetcher func(ctx context.Context, e fleet.Endpoint) (r scheduler.Report, leaving bool, err error)
 
 // LoadPoller polls the load of the engines that this entry is a home entry of. Other entries
 // receive the reports in the exchange.
 type LoadPoller struct {
-	PeerState *peering.ClusterState
-	ReadLoad  LoadReader
-	Interval  time.Duration
-	// StartDelay is the time after the start in which no engine is polled. An entry that has just
-	// started knows few peers, and so counts as a home entry of every engine; after a failure of
-	// many entries, all of them would poll every engine.
+	ClusterState *peering.ClusterState
+	FetchLoad    LoadFetcher
+	Interval     time.Duration
+	// StartDelay is the time after the start in which no engine is polled. The view of an entry
+	// that has just started contains few peers, so that it counts as a home entry of every engine;
+	// after a failure of many entries, all of them would poll every engine.
 	StartDelay time.Duration
 	// Saturated, if set, reports whether requests wait or are refused because engines are full.
 	// Engines are then polled every SaturatedInterval.
@@ -61,7 +61,7 @@
 func (c *LoadPoller) poll(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentPolls)
-	for _, e := range c.PeerState.EndpointsToPoll(clock.Now()) {
+	for _, e := range c.ClusterState.EndpointsToPoll(clock.Now()) {
 		g.Go(func() error {
 			c.PollEndpoint(ctx, e)
 			return nil
@@ -75,13 +75,13 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	// A failed poll needs no handling: the age of the last report shows it.
-	if report, leaving, err := c.ReadLoad(ctx, e); err == nil {
-		c.PeerState.RecordPoll(report, leaving)
+	if report, leaving, err := c.FetchLoad(ctx, e); err == nil {
+		c.ClusterState.RecordPoll(report, leaving)
 	}
 }
 
-// NativeLoadReader returns a LoadReader for engines with the system's own interface.
-func NativeLoadReader(client *engineclient.Client) LoadReader {
+// NativeLoadFetcher returns a LoadFetcher for engines with the system's own interface.
+func NativeLoadFetcher(client *engineclient.Client) LoadFetcher {
 	return func(ctx context.Context, e fleet.Endpoint) (scheduler.Report, bool, error) {
 		requestedAt := clock.Now()
 		load, err := client.Load(ctx, e)
--- a/internal/controllers/seeds_test.go
+++ b/internal/controllers/seeds_test.go
@@ -32,11 +32,11 @@
 	state := peering.NewClusterState(view, dispatch.New(scheduler.New(scheduler.Config{})), 1, func(drain.Leave, string) {})
 	store := published.New(published.Config{}, func(published.Event) {}, nil)
 	traffic := &peering.Traffic{}
-	client := peering.NewClient(peering.Config{State: state, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
+	client := peering.NewClient(peering.Config{ClusterState: state, Store: store, HTTP: http.DefaultClient, Scheme: "http", Traffic: traffic})
 	return &exchangingEntry{
 		state:    state,
 		handler:  peering.NewServer(state, store, nil, nil, traffic).Handler(""),
-		exchange: &controllers.Exchange{PeerState: state, Client: client, Interval: 20 * time.Millisecond, SeedPeers: seeds, RoundRequests: make(chan struct{}, 1), OnRound: func(int, int) {}},
+		exchange: &controllers.Exchange{ClusterState: state, Client: client, Interval: 20 * time.Millisecond, SeedPeers: seeds, RoundRequests: make(chan struct{}, 1), OnRound: func(int, int) {}},
 	}
 }
 
--- a/internal/controllers/stalled_watch_test.go
+++ b/internal/controllers/stalled_watch_test.go
@@ -31,14 +31,12 @@
 	return nil, ctx.Err()
 }
 
-// TestFailedWatchIsFollowedByFullRead guards against a table that comes into force too late:
-// requests were handled by a table 2.7 s old where 2 s are allowed.
-//
-// While the store drops its history, its watches receive neither changes nor the end of their
-// wait. When changes came in quick succession during that time, each watcher kept its watch open
-// for two seconds beyond its wait and then paused for half a second before a full read. In three
-// runs, the entries received no table for 2.8 s, and then the newest one 1.0 to 1.4 s after its
-// last change. The jitter of the waits leaves all six watchers that late in one of ten cases.
+// TestFailedWatchIsFollowedByFullRead guards against a delay between a failed watch and the full
+// read that follows. While the store drops its history, watches receive neither changes nor the end
+// of their wait, and time out two seconds after it. With another half a second of delay, entries
+// received no table for 2.8 s although changes came in quick succession, and then the newest one 1.0
+// to 1.4 s after its last change: they handled requests by a table 2.7 s old, where 2 s are allowed.
+// The jitter of the waits leaves all six watchers that late in one of ten cases.
 func TestFailedWatchIsFollowedByFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/controllers/value_watcher.go
+++ b/internal/controllers/value_watcher.go
@@ -14,8 +14,8 @@
 
 // WatchersPerDataCenter is how many entries of a data centre watch the platform. The others
 // receive the values from them and read the platform only rarely, so that the number of reads
-// grows with the data centres and not with the entries. While watchers have lost the platform, or
-// their records are stale, up to as many other entries replace them.
+// grows with the data centres and not with the entries. While watchers cannot reach the platform,
+// or their records are stale, up to as many other entries replace them.
 const WatchersPerDataCenter = 2
 
 // staleAfterRounds is the age, in rounds of the exchange, from which a watcher's record is stale
@@ -36,9 +36,9 @@
 // ValueWatcher keeps the published values in a Store up to date: it watches the platform if the
 // entry is one of the watchers of its data centre, and otherwise reads it at long intervals.
 type ValueWatcher struct {
-	Reader    ValueReader
-	Store     *published.Store
-	PeerState *peering.ClusterState
+	Reader       ValueReader
+	Store        *published.Store
+	ClusterState *peering.ClusterState
 	// WatchWait is the mean wait of one watch.
 	WatchWait time.Duration
 	// MaxFirstWatcherWait, if above zero, bounds the wait of each watch by the first watcher of a
@@ -65,11 +65,11 @@
 	ExchangeInterval time.Duration
 	// OnError is called for each failed read.
 	OnError func(error)
-	// OnStoreState, if set, is called when the platform is lost and when it is regained, then
-	// with the duration of the loss.
+	// OnStoreState, if set, is called when reads of the platform begin to fail, with the error,
+	// and when one succeeds again, with the downtime.
 	OnStoreState func(reachable bool, downtime time.Duration, err error)
 
-	// lostAt is when the platform was lost; zero while it can be read.
+	// lostAt is when reads of the platform began to fail; zero if the last one succeeded.
 	lostAt time.Time
 }
 
@@ -97,8 +97,8 @@
 			continue
 		}
 		lastRead = now
-		// While the platform is lost, reads don't wait for a change, so that the platform answers
-		// them at once: a watch that hangs would delay the detection of its return.
+		// While reads of the platform fail, they don't wait for a change, so that the platform
+		// answers them at once: a watch that hangs would delay the detection of its recovery.
 		wait := time.Duration(0)
 		if watcher && c.lostAt.IsZero() {
 			wait = c.watchWait(now)
@@ -107,7 +107,7 @@
 		switch {
 		case err != nil && wait > 0:
 			// It is unknown which changes a failed watch has missed. The next read requests all
-			// values, as the platform counts as lost now, and follows without a delay; a delay
+			// values, as the platform now counts as unreachable, and follows without a delay; a delay
 			// follows only if that read fails too.
 		case err != nil:
 			pause.For(ctx, jittered(failureDelay))
@@ -120,8 +120,8 @@
 // role reports whether the entry watches the platform, and whether it is the first watcher of its
 // data centre.
 func (c *ValueWatcher) role(now time.Time) (watcher, first bool) {
-	rounds := staleAfterRounds + bits.Len(uint(c.PeerState.LocalSize(now)-1))
-	higherRanked, higherActive := c.PeerState.HigherRankedWatchers(now, watchJob, time.Duration(rounds)*c.ExchangeInterval)
+	rounds := staleAfterRounds + bits.Len(uint(c.ClusterState.LocalSize(now)-1))
+	higherRanked, higherActive := c.ClusterState.HigherRankedWatchers(now, watchJob, time.Duration(rounds)*c.ExchangeInterval)
 	if c.ExchangeInterval == 0 {
 		return higherRanked < WatchersPerDataCenter, higherRanked == 0
 	}
@@ -156,12 +156,12 @@
 // grows with the size of the data centre, so that the non-watchers together read the platform
 // once per NonWatcherReadInterval.
 func (c *ValueWatcher) nonWatcherReadInterval(now time.Time) time.Duration {
-	nonWatchers := c.PeerState.LocalSize(now) - WatchersPerDataCenter
+	nonWatchers := c.ClusterState.LocalSize(now) - WatchersPerDataCenter
 	return c.NonWatcherReadInterval * time.Duration(max(nonWatchers, 1))
 }
 
-// Read reads the platform once and reports whether any value changed. A failure has been reported
-// to OnError and OnStoreState.
+// Read reads the platform once and reports whether any value changed. Unless the context
+// has ended, an error is also passed to OnError and, if the read before succeeded, to OnStoreState.
 func (c *ValueWatcher) Read(ctx context.Context, wait time.Duration) (changed bool, err error) {
 	return c.ReadWith(ctx, func(ctx context.Context) ([]published.Value, error) { return c.Reader.Read(ctx, wait) })
 }
--- a/internal/controllers/value_watcher_test.go
+++ b/internal/controllers/value_watcher_test.go
@@ -59,13 +59,13 @@
 	return nil, ctx.Err()
 }
 
-// peerlessState returns the state of an entry that knows no peers.
+// peerlessState returns the state of an entry without peers.
 func peerlessState() *peering.ClusterState {
 	view := membership.New(membership.Config{VM: "vm", DataCenter: "dc"})
 	return peering.NewClusterState(view, dispatch.New(scheduler.NewRoundRobin()), 1, func(drain.Leave, string) {})
 }
 
-// peerlessStateWithEngine returns the state of an entry that knows no peers and one engine.
+// peerlessStateWithEngine returns the state of an entry without peers and with one engine.
 func peerlessStateWithEngine() *peering.ClusterState {
 	state := peerlessState()
 	state.ApplyFleet(&fleet.List{Endpoints: []fleet.Endpoint{{
@@ -81,12 +81,12 @@
 	newPeerlessWatcher(p, onStoreState).Run(ctx)
 }
 
-// newPeerlessWatcher returns the watcher of an entry that knows no peers.
+// newPeerlessWatcher returns the watcher of an entry without peers.
 func newPeerlessWatcher(p controllers.ValueReader, onStoreState func(bool, time.Duration, error)) *controllers.ValueWatcher {
 	return &controllers.ValueWatcher{
 		Reader:                 p,
 		Store:                  published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
-		PeerState:              peerlessState(),
+		ClusterState:           peerlessState(),
 		WatchWait:              3 * time.Second,
 		WatchSpacing:           250 * time.Millisecond,
 		NonWatcherReadInterval: time.Minute,
@@ -96,8 +96,8 @@
 }
 
 // TestRecoveredPlatformIsDetectedSoon checks that reads don't wait for a change while the
-// platform is lost. With a wait, entries detected six seconds late that a store had recovered,
-// and a table came into force too late.
+// platform is unreachable. With a wait, entries detected six seconds late that a store had
+// recovered, and a table came into force too late.
 func TestRecoveredPlatformIsDetectedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -152,7 +152,7 @@
 			p := &changingPlatform{}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			watcher := &controllers.ValueWatcher{
-				Reader: p, PeerState: stateWithPeer(names[0], names[1]), WatchWait: 3 * time.Second,
+				Reader: p, ClusterState: stateWithPeer(names[0], names[1]), WatchWait: 3 * time.Second,
 				WatchSpacing: 250 * time.Millisecond, SecondaryWatchSpacing: time.Second, NonWatcherReadInterval: time.Minute,
 				Store:   published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
 				OnError: func(error) {},
@@ -167,7 +167,7 @@
 	})
 }
 
-// stateWithPeer returns the state of an entry that knows one peer in its data centre.
+// stateWithPeer returns the state of an entry with one peer in its data centre.
 func stateWithPeer(vm, peerVM string) *peering.ClusterState {
 	newView := func(vm string) *membership.View {
 		return membership.New(membership.Config{VM: vm, DataCenter: "dc", SuspectAfter: time.Hour, DeadAfter: 2 * time.Hour})
@@ -191,8 +191,8 @@
 		idlePolls, saturatedPolls := 0, 0
 		saturated := func() bool { return time.Since(startedAt) >= 12*time.Second }
 		poller := &controllers.LoadPoller{
-			PeerState: state, Interval: 1200 * time.Millisecond, Saturated: saturated, SaturatedInterval: 400 * time.Millisecond,
-			ReadLoad: func(context.Context, fleet.Endpoint) (scheduler.Report, bool, error) {
+			ClusterState: state, Interval: 1200 * time.Millisecond, Saturated: saturated, SaturatedInterval: 400 * time.Millisecond,
+			FetchLoad: func(context.Context, fleet.Endpoint) (scheduler.Report, bool, error) {
 				if saturated() {
 					saturatedPolls++
 				} else {
@@ -208,7 +208,8 @@
 }
 
 // TestNothingIsReadDuringStartDelay guards against a burst of reads after a failure of many
-// entries: an entry that has just started knows no peers, and all of them would read everything.
+// entries: an entry that has just started has no peers in its view, and all of them would read
+// everything.
 // 85 entries made 4,579 reads of engines in the four seconds after their restart.
 func TestNothingIsReadDuringStartDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -220,15 +221,15 @@
 		state := peerlessStateWithEngine()
 		var polledAfter []time.Duration
 		poller := &controllers.LoadPoller{
-			PeerState: state, Interval: time.Second, StartDelay: startDelay,
-			ReadLoad: func(context.Context, fleet.Endpoint) (scheduler.Report, bool, error) {
+			ClusterState: state, Interval: time.Second, StartDelay: startDelay,
+			FetchLoad: func(context.Context, fleet.Endpoint) (scheduler.Report, bool, error) {
 				polledAfter = append(polledAfter, time.Since(startedAt))
 				return scheduler.Report{}, false, errors.New("no report")
 			},
 		}
 		p := &changingPlatform{}
 		watcher := &controllers.ValueWatcher{
-			Reader: p, PeerState: state, WatchWait: 3 * time.Second, WatchSpacing: 250 * time.Millisecond, StartDelay: startDelay, NonWatcherReadInterval: time.Minute,
+			Reader: p, ClusterState: state, WatchWait: 3 * time.Second, WatchSpacing: 250 * time.Millisecond, StartDelay: startDelay, NonWatcherReadInterval: time.Minute,
 			Store:   published.New(published.NativeConfig(), func(published.Event) {}, func(*fleet.List, time.Time) {}),
 			OnError: func(error) {},
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -149,13 +149,13 @@
 
 func (e *Entry) makePeers(incarnation claims.Incarnation, secret []byte) {
 	e.peers = peering.NewClient(peering.Config{
-		State:    e.beliefs,
-		Store:    e.store,
-		HTTP:     tlsconfig.Client(e.peerTLS),
-		Scheme:   tlsconfig.Scheme(e.peerTLS),
-		Token:    e.cfg.PeerToken,
-		Networks: e.cfg.networks,
-		Traffic:  e.traffic,
+		ClusterState: e.beliefs,
+		Store:        e.store,
+		HTTP:         tlsconfig.Client(e.peerTLS),
+		Scheme:       tlsconfig.Scheme(e.peerTLS),
+		Token:        e.cfg.PeerToken,
+		Networks:     e.cfg.networks,
+		Traffic:      e.traffic,
 	})
 	ledger := claims.New(e.started, claims.Config{
 		VM:             e.cfg.VM,
@@ -171,7 +171,7 @@
 
 func (e *Entry) makeControllers() {
 	e.exchange = &controllers.Exchange{
-		PeerState:     e.beliefs,
+		ClusterState:  e.beliefs,
 		Client:        e.peers,
 		Inherited:     e.owner.Inherited,
 		Interval:      e.cfg.ExchangeEvery,
@@ -185,7 +185,7 @@
 	e.config = &controllers.ValueWatcher{
 		Reader:                 platform.NewValues(platform.NewStore(e.cfg.Platform, e.metrics.PlatformCalls.Inc)),
 		Store:                  e.store,
-		PeerState:              e.beliefs,
+		ClusterState:           e.beliefs,
 		WatchWait:              e.cfg.WatchWait,
 		NonWatcherReadInterval: e.cfg.LookIn,
 		ExchangeInterval:       e.cfg.ExchangeEvery,
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -82,7 +82,7 @@
 	return []controllers.Controller{
 		e.exchange,
 		e.config,
-		&controllers.LoadPoller{PeerState: e.beliefs, ReadLoad: controllers.NativeLoadReader(e.client), Interval: e.cfg.PollEvery},
+		&controllers.LoadPoller{ClusterState: e.beliefs, FetchLoad: controllers.NativeLoadFetcher(e.client), Interval: e.cfg.PollEvery},
 		&controllers.PeriodicTasks{Interval: housekeepingEvery, Tasks: []func(){e.owner.Expire}},
 	}
 }
@@ -134,7 +134,7 @@
 // requests end, hand the tickets over, and tell the others.
 func (e *Entry) stop(ctx context.Context, s *servers) {
 	e.stopping.Store(true)
-	e.beliefs.SetState(peerv1.NodeState_NODE_STATE_LEAVING)
+	e.beliefs.SetNodeState(peerv1.NodeState_NODE_STATE_LEAVING)
 	e.log.Info("stopping", "drain_delay", e.cfg.DrainDelay)
 	time.Sleep(e.cfg.DrainDelay)
 	s.callers.SetKeepAlivesEnabled(false)
--- a/internal/experiment/policies/policies.go
+++ b/internal/experiment/policies/policies.go
@@ -85,7 +85,7 @@
 		cfg.Rand = rng
 		s := scheduler.New(cfg)
 		for i := range MaxEngines {
-			s.SetHome(EngineName(i), entries)
+			s.SetHomeEntries(EngineName(i), entries)
 		}
 		return s
 	}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -115,7 +115,7 @@
 func (g *Gateway) stop(ctx context.Context, s *servers) {
 	begun := clock.Now()
 	g.stopping.Store(true)
-	g.beliefs.SetState(peerv1.NodeState_NODE_STATE_LEAVING)
+	g.beliefs.SetNodeState(peerv1.NodeState_NODE_STATE_LEAVING)
 	g.log.Info("stopping", "drain_delay", g.cfg.DrainDelay, "grace", g.vm.Bounds.Grace)
 	deadline := begun.Add(g.vm.Bounds.Grace - graceMargin)
 	time.Sleep(g.cfg.DrainDelay)
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -50,14 +50,14 @@
 	}
 	g.peersHTTP = &http.Client{Transport: peerTransport()}
 	g.peers = peering.NewClient(peering.Config{
-		State:   g.beliefs,
-		Store:   g.store,
-		HTTP:    g.peersHTTP,
-		Scheme:  "http",
-		Traffic: g.traffic,
+		ClusterState: g.beliefs,
+		Store:        g.store,
+		HTTP:         g.peersHTTP,
+		Scheme:       "http",
+		Traffic:      g.traffic,
 	})
 	g.exchange = &controllers.Exchange{
-		PeerState:     g.beliefs,
+		ClusterState:  g.beliefs,
 		Client:        g.peers,
 		Interval:      g.cfg.ExchangeEvery,
 		SeedPeers:     g.seeds(),
@@ -70,7 +70,7 @@
 	g.config = &controllers.ValueWatcher{
 		Reader:       g.reader,
 		Store:        g.store,
-		PeerState:    g.beliefs,
+		ClusterState: g.beliefs,
 		WatchWait:    g.cfg.WatchWait,
 		WatchSpacing: g.cfg.WatchSpacing,
 
@@ -84,10 +84,10 @@
 		OnStoreState:           g.onStoreState,
 	}
 	g.load = &controllers.LoadPoller{
-		PeerState:  g.beliefs,
-		ReadLoad:   g.readLoad,
-		Interval:   g.cfg.PollEvery,
-		StartDelay: g.cfg.settle(),
+		ClusterState: g.beliefs,
+		FetchLoad:    g.readLoad,
+		Interval:     g.cfg.PollEvery,
+		StartDelay:   g.cfg.settle(),
 
 		Saturated:         g.pressed,
 		SaturatedInterval: g.cfg.PollPressed,
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -32,9 +32,9 @@
 
 // Config configures a Client.
 type Config struct {
-	State *ClusterState
-	Store *published.Store
-	HTTP  *http.Client
+	ClusterState *ClusterState
+	Store        *published.Store
+	HTTP         *http.Client
 	// Scheme is http or https.
 	Scheme string
 	Token  string
@@ -65,7 +65,7 @@
 // starting together in one process took 13 s of CPU time instead of 4 s. Large tables need
 // compression: one of 1,700 routes has 400 KB, which takes a third of a second on the smallest
 // VM's link of 10 Mbit/s. When several peers fetched it uncompressed, none received it within
-// the timeout, and entries used an outdated table for ten seconds.
+// the timeout, and the entries used an outdated table for ten seconds.
 const minCompressBytes = 64 << 10
 
 // maxClients bounds the cached clients. They share the connections of Config.HTTP, so that the
@@ -99,7 +99,7 @@
 // number of peers that answered and the number that were called.
 func (c *Client) Round(ctx context.Context) (answered, attempted int) {
 	var peers []membership.Contact
-	c.cfg.State.WithView(func(v *membership.View) { peers = v.Round(clock.Now()) })
+	c.cfg.ClusterState.WithView(func(v *membership.View) { peers = v.Round(clock.Now()) })
 	return c.Reconcile(ctx, peers), len(peers)
 }
 
@@ -121,8 +121,8 @@
 }
 
 func (c *Client) newExchangeRequest(p membership.Contact) *peerv1.ExchangeRequest {
-	req := &peerv1.ExchangeRequest{RequestFactKeys: encodeKeys(c.cfg.State.guard.Keys()), TakesChanges: true}
-	c.cfg.State.WithView(func(v *membership.View) {
+	req := &peerv1.ExchangeRequest{RequestFactKeys: encodeKeys(c.cfg.ClusterState.guard.Keys()), TakesChanges: true}
+	c.cfg.ClusterState.WithView(func(v *membership.View) {
 		scope := v.ScopeWith(p)
 		req.FromVm = v.Self().GetVm()
 		req.DataCenter = v.Self().GetDataCenter()
@@ -144,9 +144,9 @@
 	}
 	now := clock.Now()
 	offerDocuments(now, c.cfg.Store, resp.GetDocuments(), p.VM)
-	c.cfg.State.Merge(now, resp.GetRecords())
-	c.cfg.State.guard.Add(decodeFacts(now, resp.GetRequestFacts())...)
-	c.cfg.State.WithView(func(v *membership.View) { v.Heard(now, resp.GetDigests()) })
+	c.cfg.ClusterState.Merge(now, resp.GetRecords())
+	c.cfg.ClusterState.guard.Add(decodeFacts(now, resp.GetRequestFacts())...)
+	c.cfg.ClusterState.WithView(func(v *membership.View) { v.Heard(now, resp.GetDigests()) })
 	pushReq := c.newPushRequest(resp)
 	if pushReq == nil {
 		return nil
@@ -165,14 +165,14 @@
 	return resp.Msg, nil
 }
 
-// newPushRequest returns a request with the records, documents and facts that a peer wants, or
-// nil if it wants none.
+// newPushRequest returns a request with the records, documents and facts that a peer requests,
+// or nil if it requests none.
 func (c *Client) newPushRequest(resp *peerv1.ExchangeResponse) *peerv1.ExchangeRequest {
 	if len(resp.GetWantedNodes()) == 0 && len(resp.GetWantedDocuments()) == 0 && len(resp.GetWantedRequestFacts()) == 0 {
 		return nil
 	}
 	req := &peerv1.ExchangeRequest{PushOnly: true}
-	c.cfg.State.WithView(func(v *membership.View) {
+	c.cfg.ClusterState.WithView(func(v *membership.View) {
 		req.FromVm = v.Self().GetVm()
 		req.Records = v.Records(resp.GetWantedNodes())
 	})
@@ -188,6 +188,6 @@
 	}
 	now := clock.Now()
 	req.Documents = encodeDocuments(now, values)
-	req.RequestFacts = encodeFacts(now, c.cfg.State.guard.Facts(decodeKeys(resp.GetWantedRequestFacts())))
+	req.RequestFacts = encodeFacts(now, c.cfg.ClusterState.guard.Facts(decodeKeys(resp.GetWantedRequestFacts())))
 	return req
 }
--- a/internal/peering/cluster_state.go
+++ b/internal/peering/cluster_state.go
@@ -63,11 +63,11 @@
 	peersWithUsage   map[string]bool
 	homesUpdatedAt   time.Time
 	payloadUpdatedAt time.Time
-	state            peerv1.NodeState
+	nodeState        peerv1.NodeState
 	storeLost        bool
 	dispatcher       *dispatch.Dispatcher
-	// homeEntryCount is the maximum number of home entries of an engine.
-	homeEntryCount int
+	// maxHomeEntries is the maximum number of home entries of an engine.
+	maxHomeEntries int
 	// payloadInterval is the minimum time between updates of the loads and usage in the own
 	// record, which change constantly. Other fields are updated with every heartbeat.
 	payloadInterval  time.Duration
@@ -90,9 +90,9 @@
 		reports:          map[string]scheduler.Report{},
 		polledAt:         map[string]time.Time{},
 		peersWithUsage:   map[string]bool{},
-		state:            peerv1.NodeState_NODE_STATE_LIVE,
+		nodeState:        peerv1.NodeState_NODE_STATE_LIVE,
 		dispatcher:       d,
-		homeEntryCount:   homeEntries,
+		maxHomeEntries:   homeEntries,
 		payloadInterval:  DefaultPayloadInterval,
 		idlePollInterval: DefaultIdlePollInterval,
 		onLeave:          onLeave,
@@ -102,7 +102,8 @@
 	return cs
 }
 
-// updateIsolatedRequests passes the requests to be isolated to the scheduler.
+// updateIsolatedRequests passes to the scheduler the requests that need an endpoint of their own
+// while their crashes are attributed.
 func (cs *ClusterState) updateIsolatedRequests() {
 	requests := cs.guard.KeptApart()
 	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { s.SetIsolatedRequests(requests) })
@@ -206,14 +207,15 @@
 	}
 }
 
-// SetState sets the node state published in the own record.
-func (cs *ClusterState) SetState(s peerv1.NodeState) {
+// SetNodeState sets the node state published in the own record.
+func (cs *ClusterState) SetNodeState(s peerv1.NodeState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.state = s
+	cs.nodeState = s
 }
 
-// SetStoreLost sets whether the own record says that this entry has lost the platform's store.
+// SetStoreLost sets whether the own record marks the platform's store as unreachable from this
+// entry.
 func (cs *ClusterState) SetStoreLost(lost bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -231,7 +233,7 @@
 		cs.payloadUpdatedAt = now
 	}
 	cs.view.Beat(func(r *peerv1.NodeRecord) {
-		r.State = cs.state
+		r.State = cs.nodeState
 		r.StoreLost = cs.storeLost
 		r.Inherited = inherited
 		r.Leaves = encodeLeaves(cs.announcedLeaves)
@@ -291,16 +293,16 @@
 // network partition the two sides together must not exceed the limit of a cold endpoint.
 func mayServe(s membership.Status) bool { return s != membership.Left }
 
-// applyMembership drops the usage of members that are dead or have left, and passes the entry's
-// rank among its peers to the guard and the scheduler.
+// applyMembership drops the usage of members that are neither alive nor suspect, and passes the
+// entry's rank among its peers to the guard and the scheduler.
 func (cs *ClusterState) applyMembership(now time.Time) {
-	live := map[string]bool{}
+	aliveOrSuspect := map[string]bool{}
 	uncertain := false
 	members := cs.view.Members(now)
 	for _, m := range members {
 		uncertain = uncertain || m.Status == membership.Suspect && cs.peersWithUsage[m.VM]
 		if m.Status == membership.Alive || m.Status == membership.Suspect {
-			live[m.VM] = true
+			aliveOrSuspect[m.VM] = true
 		}
 	}
 	cs.setUsageUncertain(uncertain)
@@ -308,10 +310,10 @@
 	cs.guard.SetPlace(rankAmong(self.GetVm(), members, isAlive))
 	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) {
 		s.SetRank(rankAmong(self.GetVm(), members, mayServe))
-		s.Backpressure().SetRank(backpressurePosition(self, members))
+		s.Backpressure().SetRank(backpressureRank(self, members))
 	})
 	for vm := range cs.peersWithUsage {
-		if !live[vm] {
+		if !aliveOrSuspect[vm] {
 			delete(cs.peersWithUsage, vm)
 			cs.dispatcher.Update(func(_ time.Time, p scheduler.Policy) { clearPeerUsage(p, vm) })
 		}
--- a/internal/peering/exchange_test.go
+++ b/internal/peering/exchange_test.go
@@ -65,7 +65,7 @@
 	server := httptest.NewServer(NewServer(p.state, p.store, nil, nil, traffic).Handler(""))
 	tb.Cleanup(server.Close)
 	p.address = server.Listener.Addr().String()
-	p.client = NewClient(Config{State: p.state, Store: p.store, HTTP: &http.Client{Transport: p}, Scheme: "http", Traffic: traffic, Timeout: generousTimeout})
+	p.client = NewClient(Config{ClusterState: p.state, Store: p.store, HTTP: &http.Client{Transport: p}, Scheme: "http", Traffic: traffic, Timeout: generousTimeout})
 	return p
 }
 
--- a/internal/peering/homes.go
+++ b/internal/peering/homes.go
@@ -15,9 +15,9 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// homeSetter is a policy that divides the capacity of endpoints among their home entries.
-type homeSetter interface {
-	SetHome(endpoint string, homeEntries int)
+// homeEntrySetter is a policy that divides the capacity of endpoints among their home entries.
+type homeEntrySetter interface {
+	SetHomeEntries(endpoint string, homeEntries int)
 }
 
 // DefaultHomeEntries is the default maximum number of home entries of an engine: the entries of
@@ -45,12 +45,12 @@
 }
 
 // isListed reports whether an instance is on the fleet list. The caller holds the lock.
-func (cs *ClusterState) isListed(l fleet.Instance) bool {
+func (cs *ClusterState) isListed(instance fleet.Instance) bool {
 	if cs.list == nil {
 		return false
 	}
-	e, listed := cs.list.Endpoint(l.Endpoint)
-	return listed && e.Instance() == l
+	e, listed := cs.list.Endpoint(instance.Endpoint)
+	return listed && e.Instance() == instance
 }
 
 // maxSpilloverPolls bounds the endpoints of other data centres that are polled for one target
@@ -96,20 +96,20 @@
 // confirmIdle reports whether an engine need not be polled because it was idle when this entry
 // last polled it and no peer has reported work for it since. It then renews the report as of now.
 // The number of polls thus grows with the number of busy engines, not with that of all engines.
-func (cs *ClusterState) confirmIdle(now time.Time, l fleet.Instance) (idle bool) {
-	polledAt, polled := cs.polledAt[l.Endpoint]
-	r, hasReport := cs.reports[l.Endpoint]
-	if !polled || !hasReport || r.Instance() != l || now.Sub(polledAt) >= cs.idlePollInterval {
+func (cs *ClusterState) confirmIdle(now time.Time, instance fleet.Instance) (idle bool) {
+	polledAt, polled := cs.polledAt[instance.Endpoint]
+	r, hasReport := cs.reports[instance.Endpoint]
+	if !polled || !hasReport || r.Instance() != instance || now.Sub(polledAt) >= cs.idlePollInterval {
 		return false
 	}
 	cs.dispatcher.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) {
-		if idle = s.Idle(now, l); idle {
+		if idle = s.Idle(now, instance); idle {
 			r.ReportedAt = now
 			s.Report(now, r)
 		}
 	})
 	if idle {
-		cs.reports[l.Endpoint] = r
+		cs.reports[instance.Endpoint] = r
 		cs.reportsChanged = true
 	}
 	return idle
@@ -206,8 +206,8 @@
 	return addresses
 }
 
-// Assigned reports whether this entry is among the count entries of its data centre that do a
-// shared job.
+// Assigned reports whether this entry is among the count live entries of its data centre that are
+// assigned to a task by rendezvous hashing of its name.
 func (cs *ClusterState) Assigned(now time.Time, name string, count int) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -216,7 +216,7 @@
 
 // HigherRankedWatchers counts the live entries of the data centre that rank above this one for a
 // job on the platform's store, and those of them that are active: their last heartbeat is more
-// recent than maxAge, and their record does not say that they lost the store.
+// recent than maxAge, and their record does not mark the store as unreachable.
 func (cs *ClusterState) HigherRankedWatchers(now time.Time, job string, maxAge time.Duration) (all, active int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -242,30 +242,30 @@
 	ranking := cs.view.Ranking(now)
 	clear(cs.homeEndpoints)
 	cs.dispatcher.View(func(_ time.Time, p scheduler.Policy) {
-		h, ok := p.(homeSetter)
+		h, ok := p.(homeEntrySetter)
 		for _, e := range cs.list.Endpoints {
-			homeEntries := cs.homeCount(&e, ranking)
+			homeEntries := cs.homeEntryCount(&e, ranking)
 			if homeEntries > 0 {
 				cs.homeEndpoints[e.ID] = true
 			}
 			if ok {
-				h.SetHome(e.ID, homeEntries)
+				h.SetHomeEntries(e.ID, homeEntries)
 			}
 		}
 	})
 }
 
-// homeCount returns the number of home entries of an endpoint, or zero if this entry is not one
+// homeEntryCount returns the number of home entries of an endpoint, or zero if this entry is not one
 // of them. All entries of the data centre are home entries of a plain service.
-func (cs *ClusterState) homeCount(e *fleet.Endpoint, ranking membership.Ranking) int {
+func (cs *ClusterState) homeEntryCount(e *fleet.Endpoint, ranking membership.Ranking) int {
 	if e.DataCenter != cs.view.Self().GetDataCenter() {
 		return 0
 	}
 	if e.Type == fleet.Service {
 		return ranking.Size()
 	}
-	if !ranking.Assigned(e.ID, cs.homeEntryCount) {
+	if !ranking.Assigned(e.ID, cs.maxHomeEntries) {
 		return 0
 	}
-	return min(ranking.Size(), cs.homeEntryCount)
+	return min(ranking.Size(), cs.maxHomeEntries)
 }
--- a/internal/peering/limits.go
+++ b/internal/peering/limits.go
@@ -13,14 +13,14 @@
 
 // Endpoints report rate limits in their responses to requests. The entry that receives a
 // response announces the limit in its record, so that entries without a response yet do not
-// exceed the limit, and entries without a share of it learn when it ends. As with leaves, only
+// exceed the limit, and entries without a share of it are informed when it ends. As with leaves, only
 // an entry that received the limit from the endpoint itself or from another data centre
 // announces it.
 
 // ApplyLimitReport applies the limit that a response of an endpoint to this entry reports.
 func (cs *ClusterState) ApplyLimitReport(now time.Time, report backpressure.LimitReport) {
 	if report.Limit.Kind == backpressure.Unlimited && cs.noLimits() {
-		// The usual case, which must not wait for the lock.
+		// Most responses report no limit, and these must not contend for the lock.
 		return
 	}
 	cs.mu.Lock()
@@ -28,9 +28,9 @@
 	cs.applyLimitReportLocked(now, report, backpressure.FromResponse, SourceEndpoint)
 }
 
-func (cs *ClusterState) noLimits() (idle bool) {
-	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { idle = s.Backpressure().Idle() })
-	return idle
+func (cs *ClusterState) noLimits() (none bool) {
+	cs.dispatcher.ViewScheduler(func(_ time.Time, s *scheduler.Scheduler) { none = s.Backpressure().Idle() })
+	return none
 }
 
 // OnLimitChange sets a function that is called with each limit that is set, removed or changed,
@@ -68,9 +68,9 @@
 }
 
 // decodeLimit decodes a limit. It is not valid if the rate is negative, infinite or NaN.
-func decodeLimit(now time.Time, l fleet.Instance, encoded *peerv1.EndpointLimit) (report backpressure.LimitReport, valid bool) {
+func decodeLimit(now time.Time, instance fleet.Instance, encoded *peerv1.EndpointLimit) (report backpressure.LimitReport, valid bool) {
 	age := time.Duration(encoded.GetAgeMs()) * time.Millisecond
-	report = backpressure.LimitReport{Instance: l, ReportedAt: now.Add(-age)}
+	report = backpressure.LimitReport{Instance: instance, ReportedAt: now.Add(-age)}
 	if encoded.GetNone() {
 		return report, true
 	}
@@ -111,10 +111,10 @@
 // share, as each side reaches only its own endpoints.
 func sharesLimits(s membership.Status) bool { return s == membership.Alive || s == membership.Suspect }
 
-// backpressurePosition returns the position of this entry among the entries that share limits,
-// per data centre.
-func backpressurePosition(self *peerv1.NodeRecord, members []membership.Member) backpressure.Rank {
-	p := backpressure.Rank{
+// backpressureRank returns the rank of this entry among the entries that share limits, per data
+// centre.
+func backpressureRank(self *peerv1.NodeRecord, members []membership.Member) backpressure.Rank {
+	rank := backpressure.Rank{
 		DataCenter: self.GetDataCenter(),
 		Entries:    map[string]int{self.GetDataCenter(): 1},
 		Preceding:  map[string]int{},
@@ -123,10 +123,10 @@
 		if !sharesLimits(m.Status) {
 			continue
 		}
-		p.Entries[m.DataCenter]++
+		rank.Entries[m.DataCenter]++
 		if m.VM < self.GetVm() {
-			p.Preceding[m.DataCenter]++
+			rank.Preceding[m.DataCenter]++
 		}
 	}
-	return p
+	return rank
 }
--- a/internal/peering/limits_test.go
+++ b/internal/peering/limits_test.go
@@ -80,7 +80,7 @@
 }
 
 func newLimitSim(random *rand.Rand, size, dataCenters int, endpoints []fleet.Endpoint) *limitSim {
-	f := &limitSim{
+	s := &limitSim{
 		random: random, now: time.Unix(1000, 0), entryByVM: map[string]*limitSimEntry{},
 		limits: map[string]float64{}, arrivals: map[string][]limitSimArrival{},
 	}
@@ -96,7 +96,7 @@
 		view := membership.New(membership.Config{
 			VM: r.GetVm(), DataCenter: r.GetDataCenter(), Epoch: 1, Incarnation: r.GetIncarnation(), SmallView: 24, Chance: random.Float64,
 		})
-		view.Merge(f.now, records)
+		view.Merge(s.now, records)
 		cfg := scheduler.Version(scheduler.ForwardingVersion)
 		cfg.DataCenter = r.GetDataCenter()
 		cfg.Rand = rand.New(rand.NewPCG(uint64(i), 7))
@@ -104,16 +104,16 @@
 		e.state = NewClusterState(view, dispatch.New(e.scheduler), DefaultHomeEntries, func(drain.Leave, string) {})
 		e.state.OnLimitChange(func(_ backpressure.Change, source string) { e.triggered = e.triggered || source == SourceEndpoint })
 		e.state.ApplyFleet(list)
-		e.state.Heartbeat(f.now, nil)
-		e.nextRound = f.now.Add(time.Duration(random.Int64N(int64(roundInterval))))
+		e.state.Heartbeat(s.now, nil)
+		e.nextRound = s.now.Add(time.Duration(random.Int64N(int64(roundInterval))))
 		total += e.callerShare
-		f.entries = append(f.entries, e)
-		f.entryByVM[e.vm] = e
+		s.entries = append(s.entries, e)
+		s.entryByVM[e.vm] = e
 	}
-	for _, e := range f.entries {
+	for _, e := range s.entries {
 		e.callerShare /= total
 	}
-	return f
+	return s
 }
 
 // exchange has an entry reconcile with the peers that its membership view picks.
@@ -180,24 +180,24 @@
 
 func (s *limitSim) deliverResponses() {
 	var pending []limitSimResponse
-	for _, a := range s.responses {
-		if a.arrivesAt.After(s.now) {
-			pending = append(pending, a)
+	for _, response := range s.responses {
+		if response.arrivesAt.After(s.now) {
+			pending = append(pending, response)
 			continue
 		}
-		st, _ := backpressure.NewLimitReport(a.endpoint.Instance(), a.limit, true, a.sentAt, s.now)
-		a.to.state.ApplyLimitReport(s.now, st)
-		if a.limit.Kind == backpressure.Limited && a.to.limitReceivedAt.IsZero() {
-			a.to.limitReceivedAt = s.now
+		report, _ := backpressure.NewLimitReport(response.endpoint.Instance(), response.limit, true, response.sentAt, s.now)
+		response.to.state.ApplyLimitReport(s.now, report)
+		if response.limit.Kind == backpressure.Limited && response.to.limitReceivedAt.IsZero() {
+			response.to.limitReceivedAt = s.now
 		}
-		a.to.scheduler.Finish(s.now, a.id, scheduler.Result{Complete: true})
+		response.to.scheduler.Finish(s.now, response.id, scheduler.Result{Complete: true})
 	}
 	s.responses = pending
 }
 
 // stop has an entry announce that it has left, in one last exchange, and terminate.
 func (s *limitSim) stop(e *limitSimEntry) {
-	e.state.SetState(peerv1.NodeState_NODE_STATE_LEFT)
+	e.state.SetNodeState(peerv1.NodeState_NODE_STATE_LEFT)
 	s.exchange(e)
 	e.stopped = true
 }
@@ -364,7 +364,7 @@
 	// countSent counts the requests that the third entry sends within a minute.
 	countSent := func(peerStatus membership.Status) (n int) {
 		s := backpressure.New()
-		s.SetRank(backpressurePosition(self, []membership.Member{
+		s.SetRank(backpressureRank(self, []membership.Member{
 			{Contact: membership.Contact{VM: "vm-0", DataCenter: "dc"}, Status: peerStatus},
 			{Contact: membership.Contact{VM: "vm-2", DataCenter: "dc"}, Status: peerStatus},
 		}))
--- a/internal/peering/loads.go
+++ b/internal/peering/loads.go
@@ -33,10 +33,10 @@
 // not applied to another: hashes of unlisted instances are ignored. For an unknown incarnation
 // the hash is that of the endpoint ID alone, as entries of earlier versions compute it for all
 // endpoints.
-func InstanceHash(l fleet.Instance) uint32 {
-	name := l.Endpoint
-	if l.HasIncarnation() {
-		name += "\x00" + strconv.FormatUint(l.Incarnation, 10)
+func InstanceHash(instance fleet.Instance) uint32 {
+	name := instance.Endpoint
+	if instance.HasIncarnation() {
+		name += "\x00" + strconv.FormatUint(instance.Incarnation, 10)
 	}
 	return uint32(xxhash.Sum64String(name))
 }
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Client) nextSuccessor(tried map[string]bool) (m membership.Member, ok bool) {
-	c.cfg.State.WithView(func(v *membership.View) {
+	c.cfg.ClusterState.WithView(func(v *membership.View) {
 		now := clock.Now()
 		var to membership.Contact
 		if to, ok = v.Successor(now, tried); ok {
@@ -84,7 +84,7 @@
 	if s := c.successorAddress(); s != "" && c.isSelf(t.OwnerVM) {
 		return s, nil
 	}
-	c.cfg.State.WithView(func(v *membership.View) {
+	c.cfg.ClusterState.WithView(func(v *membership.View) {
 		address, err = claims.Route(t, Directory{v, clock.Now()}, c.isAllowedAddress)
 	})
 	return address, err
@@ -123,7 +123,7 @@
 
 func (c *Client) isSelf(vm string) bool {
 	same := false
-	c.cfg.State.WithView(func(v *membership.View) { same = v.Self().GetVm() == vm })
+	c.cfg.ClusterState.WithView(func(v *membership.View) { same = v.Self().GetVm() == vm })
 	return same
 }
 
--- a/internal/peering/requestfacts.go
+++ b/internal/peering/request_facts.go
@@ -8,14 +8,16 @@
 	"github.com/bridgehoist/bridgehoist/pkg/quarantine"
 )
 
-// Every exchange also reconciles the two sides' facts about crashing requests. The caller sends
-// the four-byte keys of its facts; the response contains the facts that the caller lacks and the
-// keys of those that the server lacks, which the caller then pushes. Facts are not part of an
-// entry's record, so that they outlive the entry that observed them, and a starting entry
-// receives them with its first exchange. Without facts nothing is sent. Entries of older versions
-// ignore these fields.
-
-// maxFactsPerMessage bounds the facts read from one message, as a set holds no more.
+// A fact is the termination of an endpoint instance that was running a request, or a completed run
+// of the request; see quarantine.Fact. Every exchange also reconciles the two sides' facts. The
+// caller sends the four-byte keys of its facts; the response contains the facts that the caller
+// lacks and the keys of those that the server lacks, which the caller then pushes. Facts are not
+// part of an entry's record, so that they outlive the entry that observed them, and a starting
+// entry receives them with its first exchange. Without facts nothing is sent. Entries of older
+// versions ignore these fields.
+
+// maxFactsPerMessage bounds the facts and keys decoded from one message; a quarantine.Set retains
+// no more.
 const maxFactsPerMessage = quarantine.MaxFacts
 
 func encodeFacts(now time.Time, facts []quarantine.Fact) []*peerv1.RequestFact {
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -43,19 +43,19 @@
 
 // Server implements the peer service of an entry.
 type Server struct {
-	state     *ClusterState
-	store     *published.Store
-	owner     *owner.Owner
-	makeJob   MakeJob
-	traffic   *Traffic
-	largeDocs largeDocuments
+	clusterState *ClusterState
+	store        *published.Store
+	owner        *owner.Owner
+	makeJob      MakeJob
+	traffic      *Traffic
+	largeDocs    largeDocuments
 }
 
 var _ peerv1connect.PeerServiceHandler = (*Server)(nil)
 
 // NewServer returns a server. If o is nil, it serves Exchange only.
 func NewServer(cs *ClusterState, s *published.Store, o *owner.Owner, m MakeJob, t *Traffic) *Server {
-	return &Server{state: cs, store: s, owner: o, makeJob: m, traffic: t}
+	return &Server{clusterState: cs, store: s, owner: o, makeJob: m, traffic: t}
 }
 
 // Handler returns the HTTP handler of the service. With a non-empty token it refuses calls without
@@ -82,14 +82,15 @@
 }
 
 // Exchange implements peerv1connect.PeerServiceHandler. It merges the caller's state and, unless
-// the request only pushes, responds with what the caller lacks and what this entry wants.
+// the request only pushes, responds with the state that the caller lacks and the keys of the state
+// that this entry requests.
 func (s *Server) Exchange(ctx context.Context, req *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	now := clock.Now()
 	msg := req.Msg
 	s.traffic.Received(msg)
 	offerDocuments(now, s.store, msg.GetDocuments(), msg.GetFromVm())
-	s.state.Merge(now, msg.GetRecords())
-	s.state.guard.Add(decodeFacts(now, msg.GetRequestFacts())...)
+	s.clusterState.Merge(now, msg.GetRecords())
+	s.clusterState.guard.Add(decodeFacts(now, msg.GetRequestFacts())...)
 	resp := &peerv1.ExchangeResponse{}
 	if !msg.GetPushOnly() {
 		s.fillResponse(ctx, msg, resp)
@@ -104,12 +105,12 @@
 	if msg.GetAll() {
 		scope = ""
 	}
-	s.state.WithView(func(v *membership.View) {
+	s.clusterState.WithView(func(v *membership.View) {
 		v.Heard(now, msg.GetDigests())
 		a := v.Answer(now, msg.GetDigests(), scope)
 		resp.Digests, resp.Records, resp.WantedNodes = a.Digests, a.Records, a.Wanted
 	})
-	missing, wanted := s.state.guard.Compare(decodeKeys(msg.GetRequestFactKeys()))
+	missing, wanted := s.clusterState.guard.Compare(decodeKeys(msg.GetRequestFactKeys()))
 	resp.RequestFacts, resp.WantedRequestFacts = encodeFacts(now, missing), encodeKeys(wanted)
 	peerRevisions := map[string]revision.ID{}
 	for _, d := range msg.GetDocumentDigests() {
@@ -222,6 +223,6 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	s.state.Heartbeat(clock.Now(), s.owner.Inherited())
+	s.clusterState.Heartbeat(clock.Now(), s.owner.Inherited())
 	return connect.NewResponse(&peerv1.HandoverResponse{}), nil
 }
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -36,7 +36,7 @@
 	}
 	s.SetEndpoints(now, endpoints)
 	for i := range 10 {
-		s.SetHome(fmt.Sprint("e", i*endpointCount/10), 3)
+		s.SetHomeEntries(fmt.Sprint("e", i*endpointCount/10), 3)
 	}
 	s.SetPeerLoads(now, "peer", loads)
 	return s, now
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -181,7 +181,7 @@
 // partition an entry doesn't depend on the load of its peers, so that stale peer state can't make
 // all of them send at once. Beyond its partition, and at other endpoints, it sends only while the
 // projected utilization is at most Config.MaxBorrowUtilization.
-func (s *Scheduler) SetHome(id string, entries int) {
+func (s *Scheduler) SetHomeEntries(id string, entries int) {
 	if entries == 0 {
 		delete(s.homeEntries, id)
 	} else {
--- a/pkg/scheduler/scheduler_test.go
+++ b/pkg/scheduler/scheduler_test.go
@@ -41,7 +41,7 @@
 	s.SetEndpoints(s.now, endpoints)
 	for _, e := range endpoints {
 		if e.DataCenter == "hall" {
-			s.SetHome(e.ID, 1)
+			s.SetHomeEntries(e.ID, 1)
 		}
 	}
 	return s
@@ -180,7 +180,7 @@
 
 	It("stays within its partition of an endpoint without peer state", func() {
 		s := newTestScheduler(engineWithCapacity("e", "hall", 30_000))
-		s.SetHome("e", 3)
+		s.SetHomeEntries("e", 3)
 		s.Report(s.now, scheduler.Report{Endpoint: "e", Incarnation: 1, ReportedAt: s.now, UsedTokens: 24_000, CapacityTokens: 30_000, Running: 5})
 		sum := 0
 		for range 30 {
@@ -262,7 +262,7 @@
 	now := time.Unix(0, 0)
 	s := scheduler.New(scheduler.Version(scheduler.CurrentVersion))
 	s.SetEndpoints(now, []fleet.Endpoint{{ID: "engine-1", Type: fleet.Engine, Targets: []string{"m"}, CapacityTokens: 16_000, MaxRunning: 64}})
-	s.SetHome("engine-1", 1)
+	s.SetHomeEntries("engine-1", 1)
 	r := scheduler.Request{ID: 1, Workspace: "w", Kind: "k", Row: defaultRow, PromptTokens: 300, ArrivedAt: now}
 	if err := s.Submit(now, r); err == nil {
 		for _, d := range s.Next(now).Dispatches {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -118,7 +118,7 @@
 mutant "lives: reports of another counted" pkg/scheduler/scheduler.go 's/if e == nil || e.spec.Incarnation != instance.Incarnation {/if e == nil {/' ./pkg/scheduler
 mutant "lives: a leave marks the next" pkg/scheduler/scheduler.go 's/^\t\t\tdelete(s.leaving, spec.ID)$//' ./pkg/scheduler
 mutant "lives: a leave is known too late" internal/peering/cluster_state.go 's/^\t\tcs.setLeaving(p)$//' ./internal/peering
-mutant "lives: named by their ids" internal/peering/loads.go 's/if l.HasIncarnation() {/if false {/' ./internal/peering
+mutant "lives: named by their ids" internal/peering/loads.go 's/if instance.HasIncarnation() {/if false {/' ./internal/peering
 mutant "lives: late reports told on" internal/peering/homes.go 's/ \&\& cs.isListed(r.Instance()) {/ {/' ./internal/peering
 mutant "lives: reports kept for the next" internal/peering/cluster_state.go 's/!listed || e.Instance() != r.Instance()/!listed || e.ID != r.Endpoint/' ./internal/peering
 mutant "lives: a clock set back keeps out" internal/peering/cluster_state.go 's/cs.drains.SetListed(e.ID, e.Incarnation)/cs.drains.Observe(e.ID, e.Incarnation)/' ./internal/peering
@@ -167,7 +167,7 @@
 mutant "crashing requests: unbounded" $J 's/if len(s.facts) <= MaxFacts {/if true {/' ./pkg/quarantine
 mutant "crashing requests: one life counts twice" pkg/quarantine/event.go 's/return xxhash.Sum64(append(data, listed.Endpoint...))/return xxhash.Sum64(append(data, listed.Endpoint...)) + rand.Uint64()/;s/"encoding\/binary"/"encoding\/binary"\n\t"math\/rand\/v2"/' ./internal/crashwatch
 mutant "crashing requests: another workspace's are the same" pkg/quarantine/identity.go 's/\[\]byte(workspace), //' ./pkg/quarantine
-mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: encodeKeys(c.cfg.State.guard.Keys())//' ./internal/peering
+mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: encodeKeys(c.cfg.ClusterState.guard.Keys())//' ./internal/peering
 mutant "crashing requests: told by none but who saw them" internal/peering/server.go 's/resp.RequestFacts, resp.WantedRequestFacts = encodeFacts(now, missing), encodeKeys(wanted)/resp.WantedRequestFacts, _ = encodeKeys(wanted), missing/' ./internal/peering
 mutant "crashing requests: sent again by the runner" internal/runner/runner.go 's/if r.cfg.Begin == nil {/if true {/' ./internal/runner
 mutant "crashing requests: not refused at once" internal/filters/quarantined/quarantined.go 's/if err := guard.Check(job.From(r).Identity); err != nil {/if err := guard.Check(job.From(r).Identity); false {/' ./internal/filters/quarantined
