--- a/pkg/claims/bounds.go
+++ b/pkg/claims/bounds.go
@@ -23,6 +23,8 @@
 	w.buckets = append(w.buckets, mintBucket{now, 1})
 }
 
+// count returns the number of tickets minted within the window. It removes a bucket
+// once all tickets in it are older, so it may count some for up to a second longer.
 func (w *mintWindow) count(now time.Time, window time.Duration) int {
 	for len(w.buckets) > 0 && now.Sub(w.buckets[0].start) > window+time.Second {
 		w.total -= w.buckets[0].count
--- a/pkg/claims/claims.go
+++ b/pkg/claims/claims.go
@@ -4,12 +4,13 @@
 // # Design
 //
 // A caller obtains a ticket before it sends a non-idempotent request. The ticket
-// names its owner, the only process incarnation that may run the request. An
-// entry that receives a ticket of another owner forwards the request to it. If
-// the owner is unreachable or has been replaced, the outcome is MayHaveRun at
-// once. Ownership depends on no view of the fleet, on no clock of another VM and
-// on no third node, so entries with different views, a data centre that is cut
-// off and a process that resumes after a suspension can't cause a second run.
+// names its owner, the process incarnation that minted it. Only the owner, or the
+// successor to which it has handed over, may run the request. An entry that
+// receives a ticket of another owner forwards the request to it. If the owner is
+// unreachable or has been replaced, the outcome is MayHaveRun at once. Ownership
+// depends on no view of the fleet, on no clock of another VM and on no third node,
+// so entries with different views, a data centre that is cut off and a process that
+// resumes after a suspension can't cause a second run.
 //
 // The states of a ticket at its owner:
 //
@@ -30,7 +31,7 @@
 //     owner's monotonic clock.
 //
 // Memory is bounded when tickets are minted: at most MaxTickets are within their
-// validity, so at most that many records exist. Stored answers are limited to
+// validity, which limits the records of an incarnation. Stored answers are limited to
 // MaxAnswerBytes; beyond it the oldest are discarded, and their records stay.
 //
 // On a planned stop the owner hands over its authority, which is the signing
@@ -97,7 +98,7 @@
 	Body        []byte
 }
 
-// Action tells the caller of Begin how to handle a request that carries a ticket.
+// Action is how the caller of Begin must handle a request that carries a ticket.
 type Action int
 
 const (
@@ -144,8 +145,8 @@
 // authority is the right to run the tickets that one incarnation minted.
 type authority struct {
 	secret []byte
-	// The incarnation's monotonic time, in which tickets are dated, was
-	// elapsedAtAcquisition at the local time acquiredAt.
+	// At the local time acquiredAt, elapsedAtAcquisition had elapsed since the start of the
+	// incarnation. Ticket.MintedMS counts from that start.
 	acquiredAt           time.Time
 	elapsedAtAcquisition time.Duration
 }
--- a/pkg/claims/handover.go
+++ b/pkg/claims/handover.go
@@ -11,12 +11,12 @@
 
 // ErrStopping is returned by Adopt if this entry is stopping. Nothing of the
 // handover was adopted, so the sender may offer it to another entry.
-var ErrStopping = errors.New("claims: entry is stopping and accepts no handover")
+var ErrStopping = errors.New("claims: this entry is stopping and takes no tickets over")
 
 // ErrNotAddressed is returned by Adopt if the handover is addressed to another
 // process, such as the previous one on this VM. The sender must not offer it to
-// another entry.
-var ErrNotAddressed = errors.New("claims: handover is addressed to another process")
+// another entry, as that process may have adopted it.
+var ErrNotAddressed = errors.New("claims: the handover is for another process")
 
 // Freeze permanently stops the minting of tickets and the start of runs. Runs
 // that have begun continue.
@@ -68,7 +68,8 @@
 	return msg
 }
 
-// Adopt takes over the authorities of a stopping entry. A process adopts an
+// Adopt takes over the authorities of a stopping entry. It returns ErrNotAddressed,
+// ErrStopping or an error for a malformed message. A process adopts an
 // authority at most once: a delayed duplicate of the message would make tickets
 // usable again that have been run or handed over in the meantime.
 func (l *Ledger) Adopt(now time.Time, msg *peerv1.HandoverRequest) error {
@@ -81,7 +82,7 @@
 	for _, a := range msg.GetAuthorities() {
 		var incarnation Incarnation
 		if len(a.GetIncarnation()) != len(incarnation) {
-			return errors.New("claims: handover contains an incarnation of the wrong length")
+			return errors.New("claims: bad incarnation in handover")
 		}
 		copy(incarnation[:], a.GetIncarnation())
 		if l.adopted[incarnation] {
--- a/pkg/claims/ticket.go
+++ b/pkg/claims/ticket.go
@@ -27,8 +27,10 @@
 	OwnerAddress string
 	Incarnation  Incarnation
 	Serial       uint64
-	MintedMS     uint64
-	mac          []byte
+	// MintedMS is the time of minting in ms since the start of the incarnation, on its
+	// monotonic clock.
+	MintedMS uint64
+	mac      []byte
 }
 
 // Incarnation identifies a process; it is random and drawn at each start.
