--- a/pkg/membership/assign.go
+++ b/pkg/membership/assign.go
@@ -12,7 +12,7 @@
 	peerv1 "github.com/bridgehoist/bridgehoist/gen/bridgehoist/peer/v1"
 )
 
-// Assigned reports whether the owner is among the count live entries of its
+// Assigned reports whether the local node is among the count live entries of its
 // data centre with the highest scores for a job, by rendezvous hashing. While
 // the views of entries differ, more than count entries may do a job or, for a
 // moment, fewer or none; so it serves only for jobs where both are harmless, such
@@ -23,7 +23,7 @@
 }
 
 // HigherRanked returns how many live peers of the own data centre have a higher score for a job
-// than the owner, and how many of those satisfy matches.
+// than the local node, and how many of those satisfy matches.
 func (v *View) HigherRanked(now time.Time, job string, matches func(Member) bool) (total, matching int) {
 	ownScore := RendezvousScore(job, v.cfg.VM)
 	for _, n := range v.nodes {
@@ -41,7 +41,7 @@
 	return total, matching
 }
 
-// LocalSize returns the number of live entries of the own data centre, including the owner.
+// LocalSize returns the number of live entries of the own data centre, including the local node.
 func (v *View) LocalSize(now time.Time) int {
 	n := 1
 	for _, peer := range v.nodes {
@@ -88,7 +88,7 @@
 	return r
 }
 
-// Size returns the number of entries, including the owner.
+// Size returns the number of entries, including the local node.
 func (r Ranking) Size() int { return len(r.peerHashes) + 1 }
 
 // Assigned is View.Assigned for the entries of the ranking.
@@ -107,13 +107,14 @@
 	return higher < count
 }
 
-// Successor returns the entry that is to take over the owner's tickets: the live
+// Successor returns the entry that is to take over the local node's tickets: the live
 // one with the highest rendezvous score in the own data centre or, if there is
-// none, in the others. VMs in refused are excluded.
-func (v *View) Successor(now time.Time, refused map[string]bool) (Contact, bool) {
+// none, in the other data centres. VMs in excluded are not selected, such as those
+// that have refused the handover.
+func (v *View) Successor(now time.Time, excluded map[string]bool) (Contact, bool) {
 	var local, remote []Contact
 	for _, m := range v.Members(now) {
-		if m.Status != Alive || !inLiveState(m) || refused[m.VM] {
+		if m.Status != Alive || !inLiveState(m) || excluded[m.VM] {
 			continue
 		}
 		if m.DataCenter == v.cfg.DataCenter {
@@ -140,10 +141,10 @@
 
 // Inheritor returns the member that has inherited the tickets of an incarnation.
 func (v *View) Inheritor(now time.Time, incarnation []byte) (Member, bool) {
-	for name, n := range v.nodes {
-		for _, i := range n.record.GetInherited() {
-			if bytes.Equal(i, incarnation) {
-				return v.Find(now, name)
+	for vm, n := range v.nodes {
+		for _, inherited := range n.record.GetInherited() {
+			if bytes.Equal(inherited, incarnation) {
+				return v.Find(now, vm)
 			}
 		}
 	}
--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -13,7 +13,7 @@
 	b := membership.New(membership.Config{VM: "entry-2", DataCenter: "hall", PeerAddress: "10.0.0.2:7000", Incarnation: []byte{2}})
 	response := b.Respond(now, a.Digests(now, ""), "") // a sends its digests, b responds
 	a.Merge(now, response.Records)
-	b.Merge(now, a.Records(response.Wanted)) // a pushes the records that b wants
+	b.Merge(now, a.Records(response.Wanted)) // a pushes the records that b requests
 	for _, m := range b.Members(now) {
 		fmt.Println(m.VM, m.Address, m.Status)
 	}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,4 +1,4 @@
-// Package membership maintains each entry's view of the other entries by gossip.
+// Package membership maintains each entry's view of its peers by gossip.
 //
 // # Design
 //
@@ -7,7 +7,7 @@
 // peers of its own data centre and, rarely, one of another, and reconciles with
 // each of them: it sends digests, which hold the ID, heartbeat and version of each
 // node; receives the records that are newer at the peer; and pushes those that the
-// peer wants. An unchanged record costs its digest only.
+// peer requests. An unchanged record costs its digest only.
 //
 // Most exchanges cover the nodes of the own data centre. One exchange in twenty,
 // and every one with another data centre, covers all nodes. The cost per node is
@@ -18,7 +18,7 @@
 // of which it has received no update, that is no higher heartbeat and no newer
 // record, for SuspectAfter on the local clock, and considers it dead after
 // DeadAfter. Dead nodes are left out of digests, so that peers that have not yet
-// detected the failure don't bring them back.
+// detected the failure don't add them again.
 //
 //	              update
 //	   +--------------------------+
@@ -77,8 +77,10 @@
 	// NoticeAddress is the address that receives prompt notices as datagrams; empty
 	// for none.
 	NoticeAddress string
-	Epoch         uint64
-	Incarnation   []byte
+	// Epoch orders the incarnations of one VM. Callers set it from the wall clock at the
+	// start of the process.
+	Epoch       uint64
+	Incarnation []byte
 	// SuspectAfter is the time without an update after which a node is suspect.
 	SuspectAfter time.Duration
 	// DeadAfter is the time without an update after which a node is dead.
@@ -160,7 +162,8 @@
 	Record *peerv1.NodeRecord
 }
 
-// View is one entry's view of itself, its owner, and its peers.
+// View is one entry's view of the fleet: the entry itself, here called the local node,
+// and its peers.
 type View struct {
 	cfg  Config
 	self *peerv1.NodeRecord
@@ -171,11 +174,11 @@
 	byID      map[NodeID]*node
 	// sorted holds the nodes in the order of their VM names.
 	sorted []*node
-	// seeds holds the published entries by VM, without the owner.
+	// seeds holds the entries of the fleet list by VM, without the local node.
 	seeds map[string]Contact
 }
 
-// New returns a view that contains only its owner.
+// New returns a view that contains only the local node.
 func New(cfg Config) *View {
 	cfg = cfg.WithDefaults()
 	v := &View{
@@ -198,10 +201,10 @@
 	return v
 }
 
-// Self returns the owner's record; the caller must not change it.
+// Self returns the local node's record; the caller must not change it.
 func (v *View) Self() *peerv1.NodeRecord { return v.self }
 
-// Heartbeat raises the owner's heartbeat, and the version of its record if update
+// Heartbeat raises the local node's heartbeat, and the version of its record if update
 // changes it.
 func (v *View) Heartbeat(update func(*peerv1.NodeRecord)) {
 	v.heartbeat++
@@ -253,8 +256,8 @@
 	}
 }
 
-// refuteOwnRecord raises the owner's epoch above that of r if r is a record of
-// another incarnation on the owner's VM whose epoch is not lower.
+// refuteOwnRecord raises the local node's epoch above that of r if r is a record of
+// another incarnation on the local VM whose epoch is not lower.
 func (v *View) refuteOwnRecord(r *peerv1.NodeRecord) {
 	if bytes.Equal(r.GetIncarnation(), v.cfg.Incarnation) {
 		return
@@ -330,8 +333,8 @@
 	return Alive
 }
 
-// ExcludeSuspension subtracts a suspension of the owner's VM from the age of all nodes: the
-// owner receives no updates in that time, so their absence is no sign of a peer's failure.
+// ExcludeSuspension subtracts a suspension of the local VM from the age of all nodes: no
+// update can be received in that time, so its absence doesn't indicate a peer's failure.
 func (v *View) ExcludeSuspension(suspension time.Duration) {
 	for _, n := range v.nodes {
 		n.updatedAt = n.updatedAt.Add(suspension)
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// TestOwnSuspensionDoesNotAgePeers guards against suspecting every peer after the owner's VM was
+// TestOwnSuspensionDoesNotAgePeers guards against suspecting every peer after the local VM was
 // suspended, as no heartbeat arrives in that time.
 func TestOwnSuspensionDoesNotAgePeers(t *testing.T) {
 	g := NewWithT(t)
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SetSeeds replaces the published entries.
+// SetSeeds sets the entries of the fleet list as the seeds.
 func (v *View) SetSeeds(contacts []Contact) {
 	clear(v.seeds)
 	for _, c := range contacts {
@@ -16,8 +16,8 @@
 	}
 }
 
-// Seeds returns the published entries, without the owner, in the order of their VM
-// names.
+// Seeds returns the entries of the fleet list, without the local node, in the order
+// of their VM names.
 func (v *View) Seeds() []Contact {
 	contacts := make([]Contact, 0, len(v.seeds))
 	for _, c := range v.seeds {
@@ -42,7 +42,7 @@
 }
 
 // candidates returns the peers that a round may contact: members that have not
-// left, and published entries of which no record is stored. Dead members are
+// left, and seeds of which no record is stored. Dead members are
 // included; otherwise the two sides of a network partition would never reconcile
 // after it heals.
 func (v *View) candidates(now time.Time) (local, remote []Contact) {
--- a/pkg/membership/reconcile.go
+++ b/pkg/membership/reconcile.go
@@ -56,7 +56,7 @@
 	return Scope(v.cfg.DataCenter)
 }
 
-// Digests returns the digests of the owner and, after it, of all nodes within the
+// Digests returns the digests of the local node and, after it, of all nodes within the
 // scope that are not dead.
 func (v *View) Digests(now time.Time, scope Scope) *peerv1.Digests {
 	d := &peerv1.Digests{}
@@ -81,12 +81,12 @@
 	Digests *peerv1.Digests
 	// Records holds the records that are newer locally.
 	Records []*peerv1.NodeRecord
-	// Wanted holds the IDs of nodes whose records are newer at the peer.
+	// Wanted holds the IDs of nodes whose records are newer at the peer or unknown locally.
 	Wanted []uint64
 }
 
-// digestEntry holds the values for one node in a peer's digests.
-type digestEntry struct{ heartbeat, version uint64 }
+// nodeDigest holds the values for one node in a peer's digests.
+type nodeDigest struct{ heartbeat, version uint64 }
 
 // Respond compares a peer's digests with the local nodes of the same scope. Digests
 // with lists of different lengths get an empty response.
@@ -95,11 +95,11 @@
 	if len(peerDigests.GetHeartbeats()) != len(peerDigests.GetNodes()) || len(peerDigests.GetVersions()) != len(peerDigests.GetNodes()) {
 		return response
 	}
-	byID := make(map[NodeID]digestEntry, len(peerDigests.GetNodes()))
+	byID := make(map[NodeID]nodeDigest, len(peerDigests.GetNodes()))
 	for i, id := range peerDigests.GetNodes() {
-		entry := digestEntry{peerDigests.GetHeartbeats()[i], peerDigests.GetVersions()[i]}
-		byID[NodeID(id)] = entry
-		if v.wantsRecord(NodeID(id), entry.version, scope) {
+		digest := nodeDigest{peerDigests.GetHeartbeats()[i], peerDigests.GetVersions()[i]}
+		byID[NodeID(id)] = digest
+		if v.needsRecord(NodeID(id), digest.version, scope) {
 			response.Wanted = append(response.Wanted, id)
 		}
 	}
@@ -112,9 +112,9 @@
 	return response
 }
 
-// wantsRecord reports whether a peer's version of a node's record is newer than
+// needsRecord reports whether a peer's version of a node's record is newer than
 // the local one, or the node is unknown.
-func (v *View) wantsRecord(id NodeID, version uint64, scope Scope) bool {
+func (v *View) needsRecord(id NodeID, version uint64, scope Scope) bool {
 	if id == v.selfID {
 		return false
 	}
@@ -127,12 +127,12 @@
 
 // appendNewer appends to response the digest of a node if its heartbeat is higher
 // locally than in the peer's digests, and its record if that is newer.
-func (v *View) appendNewer(response *Response, peerEntries map[NodeID]digestEntry, id NodeID, heartbeat uint64, r *peerv1.NodeRecord, scope Scope) {
-	entry, ok := peerEntries[id]
-	if !ok || heartbeat > entry.heartbeat {
+func (v *View) appendNewer(response *Response, peerByID map[NodeID]nodeDigest, id NodeID, heartbeat uint64, r *peerv1.NodeRecord, scope Scope) {
+	digest, ok := peerByID[id]
+	if !ok || heartbeat > digest.heartbeat {
 		appendDigest(response.Digests, id, heartbeat, r.GetVersion())
 	}
-	if !ok || v.scopedVersion(r, r.GetVersion(), scope) > v.scopedVersion(r, entry.version, scope) {
+	if !ok || v.scopedVersion(r, r.GetVersion(), scope) > v.scopedVersion(r, digest.version, scope) {
 		response.Records = append(response.Records, r)
 	}
 }
