--- a/pkg/table/route.go
+++ b/pkg/table/route.go
@@ -38,9 +38,9 @@
 	Target string
 	// MaxConnections limits the connections to one endpoint, over all entries.
 	MaxConnections int
-	// ColdPeriod is how long an endpoint is cold after a start, or after it has turned cold
-	// later. ColdRequestsPerSecond is the rate that a cold endpoint can serve, over all entries.
-	// Zero is no limit.
+	// ColdPeriod is how long an endpoint stays cold after a start, or when it becomes cold at
+	// another time. ColdRequestsPerSecond is the rate that a cold endpoint can serve, over all
+	// entries; zero is no limit.
 	ColdPeriod            time.Duration
 	ColdRequestsPerSecond float64
 	// Engine is nil for plain services.
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -73,12 +73,12 @@
 	// MaxAttempts limits the number of endpoints that a request is sent to; zero
 	// selects the default of package retry.
 	MaxAttempts int
-	// Objective is the latency objective, to the answer or to its first event; zero
-	// for none.
+	// Objective is the latency objective for the first event of a stream, or for an answer
+	// that is not streamed; zero for none.
 	Objective time.Duration
 	// Regions restricts the row's requests to endpoints of these regions; empty allows all.
 	Regions []string
-	// MaxGap is the objective for the time between two events of an answer.
+	// MaxGap is the objective for the time between two events of a stream; zero for none.
 	MaxGap time.Duration
 	// Streaming is set if answers are streams of events.
 	Streaming bool
