--- a/internal/clock/kernel.go
+++ b/internal/clock/kernel.go
@@ -16,7 +16,7 @@
 )
 
 // errInterrupted means that the process was interrupted between the reads in every attempt. The
-// next sample makes up for it.
+// next sample includes any suspension that this one missed.
 var errInterrupted = errors.New("clock: interrupted between reads")
 
 // kernelSource determines suspensions from the kernel's clocks: the boot clock includes
--- a/internal/clock/kernel_test.go
+++ b/internal/clock/kernel_test.go
@@ -12,11 +12,11 @@
 // after the read of one clock and before that of the other doesn't count as suspended.
 func TestPreemptionBetweenReadsIsNoSuspension(t *testing.T) {
 	const suspended = 3 * time.Second
-	for stopped := range 4 {
+	for stoppedBefore := range 4 {
 		g := NewWithT(t)
 		now, reads := time.Hour, 0
 		got, err := measureSuspended(func(id int32) (time.Duration, error) {
-			if reads == stopped {
+			if reads == stoppedBefore {
 				now += 10 * time.Second
 			}
 			reads++
@@ -27,7 +27,7 @@
 			return now, nil
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(BeNumerically("~", suspended, maxReadSpan), "stopped before read %d", stopped)
+		g.Expect(got).To(BeNumerically("~", suspended, maxReadSpan), "stopped before read %d", stoppedBefore)
 	}
 }
 
--- a/internal/contain/contain.go
+++ b/internal/contain/contain.go
@@ -104,7 +104,7 @@
 	g.Add(crashwatch.Facts(termination, g.filterEvidence(runs))...)
 }
 
-// filterEvidence drops the runs against which a termination doesn't count; see
+// filterEvidence returns the runs whose requests an instance's termination counts against; see
 // quarantine.Set.IsEvidence.
 func (g *Guard) filterEvidence(runs []crashwatch.Run) (evidence []crashwatch.Run) {
 	g.mu.Lock()
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -12,10 +12,10 @@
 //	      |                                                            those that join later
 //	      +--incidentRetention--> dropped without a finding
 //
-// A request whose caller has gone may crash its endpoint a moment later, and no other run may
-// be there to break off. Such runs are remembered for abandonedRunPeriod. They join an incident
-// that opens within that time, and a connection refused to another request opens an incident
-// for them.
+// A request whose caller has disconnected may still crash its endpoint shortly afterwards,
+// possibly while no other run is there to break off. Such abandoned runs are retained for
+// abandonedRunPeriod. They join an incident that opens within that time, and a connection
+// refused to another request opens an incident for them.
 //
 // The list of endpoints lags behind. A run that was sent after the instance's termination was
 // confirmed ran in the next instance, which isn't listed yet; if it breaks off, a new incident
@@ -57,20 +57,20 @@
 	// instances than that break off together, the network has failed, not the requests.
 	maxIncidents = 64
 	// maxRunsPerIncident exceeds the number of requests that one engine runs at once.
-	// maxAbandonedRuns limits the remembered runs whose callers have gone.
+	// maxAbandonedRuns limits the retained runs whose callers have disconnected.
 	maxRunsPerIncident = 256
 	maxAbandonedRuns   = 1024
-	// abandonedRunPeriod is how long an endpoint may go on with a request whose caller has
-	// gone. The closed connection signals it to stop, for which it has half a second.
+	// abandonedRunPeriod is how long an endpoint may continue a request whose caller has
+	// disconnected: it must stop within half a second after its connection is closed.
 	abandonedRunPeriod = 500 * time.Millisecond
 )
 
-// Run is a run of a request that broke off, or whose caller has gone.
+// Run is a run of a request that broke off, or whose caller has disconnected.
 type Run struct {
 	RequestID string
 	Identity  quarantine.Identity
 	// SentAt is when the request was sent to the endpoint. InterruptedAt is when the run broke
-	// off or its caller had gone.
+	// off or its caller disconnected.
 	SentAt, InterruptedAt time.Time
 }
 
@@ -115,7 +115,7 @@
 
 	mu        sync.Mutex
 	incidents map[fleet.Instance]*incident
-	// abandoned holds the runs whose callers have gone, in order of InterruptedAt.
+	// abandoned holds the runs whose callers have disconnected, in order of InterruptedAt.
 	abandoned []abandonedRun
 }
 
@@ -145,8 +145,8 @@
 	}
 }
 
-// RecordAbandonedRun records that the caller of a request has gone while the request ran at an
-// endpoint.
+// RecordAbandonedRun records that the caller of a request disconnected while the request ran
+// at an endpoint.
 func (w *Watcher) RecordAbandonedRun(endpoint fleet.Endpoint, run Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/crashwatch/crashwatch_test.go
+++ b/internal/crashwatch/crashwatch_test.go
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestAbandonedRuns checks that a request that terminates its endpoint just after its caller
-// has gone is reported once something else shows the termination, and that one abandoned long
-// before is not.
+// TestAbandonedRuns checks that a request that crashes its endpoint just after its caller
+// disconnected is reported once another request shows the termination, and that a request
+// abandoned longer ago than abandonedRunPeriod is not.
 func TestAbandonedRuns(t *testing.T) {
 	triggers := map[string]func(*crashwatch.Watcher, context.Context){
 		"another run breaks off": func(w *crashwatch.Watcher, ctx context.Context) {
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -13,7 +13,7 @@
 
 // Errors of Client.Copy.
 var (
-	// ErrNoRun means that the engine doesn't run the request: it has ended or never started.
+	// ErrNoRun means that the engine doesn't run the request: its run has ended or never started.
 	ErrNoRun = errors.New("engine: no such run")
 	// ErrNoRoom means that the target has too little free memory for the copy.
 	ErrNoRoom = errors.New("engine: no room for the copy")
--- a/internal/evacuate/evacuate.go
+++ b/internal/evacuate/evacuate.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	// maxNoticeAge is the greatest age of a notice from which plans may start.
+	// maxNoticeAge is the maximum age of a notice whose time may be the start of a plan.
 	maxNoticeAge = time.Second
 	// passInterval is the wait before another pass over engines with generations that could
 	// not be moved. A target may have room by then.
@@ -68,7 +68,7 @@
 
 // DisabledFeatures selects the features to disable.
 type DisabledFeatures struct {
-	// Moves disables moves: generations stay where they are.
+	// Moves disables moves: generations stay at their engines.
 	Moves bool
 	// CopyRefresh disables refreshing: a generation stops after its first copy, even if the
 	// link is busy.
@@ -80,7 +80,9 @@
 	GroupPlans bool
 }
 
-// Results of moves, for metrics.
+// Results of moves, for metrics. ResultEnded means that the generation ended before it could be
+// moved, ResultReturned that it continues at the source since the target lacks memory for the
+// last copy, and ResultTooLate that the source didn't confirm the stop.
 const (
 	ResultMoved    = "moved"
 	ResultEnded    = "ended"
@@ -110,8 +112,8 @@
 }
 
 // EngineLeaving starts the evacuation of an engine in the background, unless it is in progress.
-// noticedAt is when the first entry received the notice: the plans of different entries fit
-// together only if their times count from the same moment.
+// noticedAt is when the first entry received the notice: the plans of different entries are
+// consistent only if their times count from the same moment.
 func (e *Evacuator) EngineLeaving(ctx context.Context, source fleet.Endpoint, noticedAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,7 +151,7 @@
 }
 
 // earliestNotice returns when the first entry received the notice of a group. Times older than
-// maxNoticeAge are ignored, as a plan that starts then is of no use.
+// maxNoticeAge are ignored, as a plan that starts then is outdated.
 func (e *Evacuator) earliestNotice(group []fleet.Endpoint) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/evacuate/groups.go
+++ b/internal/evacuate/groups.go
@@ -13,8 +13,8 @@
 const groupingDelay = 5 * time.Millisecond
 
 // groupKey identifies a group. Engines in different data centres usually move their generations
-// to different targets, and each additional engine in a group costs its entries one more
-// paid read.
+// to different targets, and for each additional engine in a group every entry that plans for
+// the group fetches one more report, at a cost.
 type groupKey struct {
 	target, dataCenter string
 	// singleEngine is the engine's ID if group plans are disabled, so that each group has one
--- a/internal/evacuate/input.go
+++ b/internal/evacuate/input.go
@@ -19,14 +19,14 @@
 	// reportTimeout limits the fetch of a list of runs. Without the list, the plan covers only
 	// this entry's own runs.
 	reportTimeout = 300 * time.Millisecond
-	// reportDelay is the age of a report when it is received: the remaining times in engines'
-	// reports were half a second longer than the engines ran on.
+	// reportDelay is the age of a report when it is received: the remaining time in a report
+	// exceeds the time until the engine terminates by half a second.
 	reportDelay = 500 * time.Millisecond
 	// projectionIndex is the index of the memory projection in which a target must have room.
 	// Its horizon is some seconds of decoding.
 	projectionIndex = 1
-	// maxUtilization is the share of a target's memory that copies may fill. The rest is
-	// reserved for the growth of the runs there.
+	// maxUtilization is the share of a target's memory up to which copies are placed there.
+	// The rest is reserved for the growth of the target's runs.
 	maxUtilization = 0.9
 	// moveOverhead is the time of a move besides the copy of the memory: the difference
 	// between the time of a handoff and its bytes divided by the link rate.
--- a/internal/evacuate/move.go
+++ b/internal/evacuate/move.go
@@ -21,9 +21,9 @@
 	// releaseTimeout limits the release of an unused copy, which engines otherwise drop by
 	// themselves some seconds later.
 	releaseTimeout = 500 * time.Millisecond
-	// idleLinkCopyTime is the longest time of an incremental copy while no other copy uses the
-	// link: some milliseconds for the calls, and one or two for the tokens of a quarter of a
-	// second.
+	// idleLinkCopyTime is the maximum duration of an incremental copy while no other copy uses
+	// the link: some milliseconds for the calls, plus one or two milliseconds for the tokens
+	// generated in a quarter of a second.
 	idleLinkCopyTime = 25 * time.Millisecond
 	// maxRefreshes limits the incremental copies that are made until the link is idle.
 	maxRefreshes = 3
@@ -117,9 +117,10 @@
 }
 
 // sameInstance reports whether an engine's report shows that it hasn't restarted; an engine
-// without a known incarnation counts as not restarted. The next instance doesn't list the runs
-// of the previous one, which doesn't show how they ended, and a terminating process may look
-// like the regular end of a stream without a content length.
+// without a known incarnation counts as not restarted. After a restart, a missing run doesn't
+// show that the generation completed: the next instance doesn't list the runs of the previous
+// one, and a connection that a terminating process closes may look like the regular end of a
+// stream without a content length.
 func (e *Evacuator) sameInstance(ctx context.Context, endpoint fleet.Endpoint) bool {
 	if !endpoint.Instance().HasIncarnation() {
 		return true
--- a/internal/heap/heap.go
+++ b/internal/heap/heap.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// maxGrowth is how much a larger live heap may grow between collections, in bytes.
+	// maxGrowth is the growth in bytes after which the next collection starts if the live heap
+	// is larger than that. minPercent takes precedence.
 	maxGrowth = 6 << 20
 	// defaultPercent and minPercent limit the growth in percent of the live heap. Below
 	// minPercent the collector would run continuously.
