--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	policy  scheduler.Policy
 	waiting map[scheduler.ID]chan decision
-	nextID  scheduler.ID
+	lastID  scheduler.ID
 }
 
 // New returns a dispatcher for the policy.
@@ -84,11 +84,11 @@
 	})
 }
 
-// Pause records that an endpoint accepts no requests from this entry for duration, and reports
-// whether a pause started, as opposed to one in effect being repeated.
-func (d *Dispatcher) Pause(instance fleet.Instance, duration time.Duration) (changed bool) {
-	d.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { changed = s.Backpressure().Pause(now, instance, duration) })
-	return changed
+// Pause records that an endpoint accepts no requests from this entry for duration. It reports
+// whether a pause started, and returns false if one is already in effect.
+func (d *Dispatcher) Pause(instance fleet.Instance, duration time.Duration) (started bool) {
+	d.ViewScheduler(func(now time.Time, s *scheduler.Scheduler) { started = s.Backpressure().Pause(now, instance, duration) })
+	return started
 }
 
 func (d *Dispatcher) schedule(now time.Time) {
@@ -131,8 +131,8 @@
 func (d *Dispatcher) submit(r scheduler.Request) (scheduler.ID, chan decision, *outcome.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.nextID++
-	r.ID = d.nextID
+	d.lastID++
+	r.ID = d.lastID
 	now := clock.Now()
 	if err := d.policy.Submit(now, r); err != nil {
 		return 0, nil, err
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -15,7 +15,7 @@
 	"github.com/bridgehoist/bridgehoist/pkg/table"
 )
 
-// Job is one request of a caller. The filters fill it in in their order. The
+// Job is one request of a caller. The filters set its fields one after the other. The
 // request fields don't change after the request's ticket has been claimed.
 type Job struct {
 	// RequestID identifies the request in logs.
@@ -92,8 +92,8 @@
 }
 
 // Identity returns the request's quarantine identity, a hash of its workspace, host, path and
-// body. It is computed on the first call, so that requests that are refused earlier don't pay
-// for it: hashing a prompt of 16 KB takes 11 us (BenchmarkIdentity).
+// body. It is computed on the first call, as hashing a prompt of 16 KB takes 11 us
+// (BenchmarkIdentity), which requests that are refused earlier avoid.
 func (j *Job) Identity() quarantine.Identity {
 	if j.identity == nil {
 		identity := quarantine.IdentityOf(j.Workspace, j.Host, j.Path, j.Body)
@@ -135,18 +135,18 @@
 // current time.
 func (t *Timings) RecordProgress(arrived, last time.Time) time.Time {
 	now := clock.Now()
-	gap := now.Sub(last)
+	latency := now.Sub(last)
 	if t.TimeToFirstToken == 0 {
 		t.TimeToFirstToken = now.Sub(arrived)
-		gap = t.TimeToFirstToken
+		latency = t.TimeToFirstToken
 	} else {
-		t.MaxInterTokenLatency = max(t.MaxInterTokenLatency, gap)
+		t.MaxInterTokenLatency = max(t.MaxInterTokenLatency, latency)
 		if len(t.InterTokenLatencies) < maxLatencySamples {
-			t.InterTokenLatencies = append(t.InterTokenLatencies, gap)
+			t.InterTokenLatencies = append(t.InterTokenLatencies, latency)
 		}
 	}
-	if gap > StallThreshold {
-		t.Stalled += gap
+	if latency > StallThreshold {
+		t.Stalled += latency
 	}
 	return now
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -20,9 +20,9 @@
 	"github.com/bridgehoist/bridgehoist/pkg/scheduler"
 )
 
-// charsPerToken is the assumed number of bytes per token. It serves to estimate a
+// bytesPerToken is the assumed number of bytes per token. It serves to estimate a
 // prompt's tokens, since prompts aren't tokenized here.
-const charsPerToken = 4
+const bytesPerToken = 4
 
 // Performer makes one attempt at a request at the endpoint of a grant, and
 // writes the answer to the sink.
@@ -139,7 +139,7 @@
 		AllowedRegions: j.AllowedRegions,
 	}
 	if j.Prompt != "" {
-		req.PromptTokens = len(j.Prompt)/charsPerToken + 1
+		req.PromptTokens = len(j.Prompt)/bytesPerToken + 1
 	}
 	return req
 }
@@ -161,12 +161,12 @@
 	if st.attempts == 1 {
 		r.budgets.recordFirstAttempt(j.Workspace, grant.Endpoint.ID, j.Row.Target)
 	}
-	end := r.cfg.Performer.Perform(ctx, j, sink, grant)
-	r.cfg.Dispatcher.Finish(grant.ID, schedulerResult(ctx, end))
-	if end.Failure == nil {
+	result := r.cfg.Performer.Perform(ctx, j, sink, grant)
+	r.cfg.Dispatcher.Finish(grant.ID, schedulerResult(ctx, result))
+	if result.Failure == nil {
 		return nil, false
 	}
-	return r.decide(ctx, j, sink, grant, st, end)
+	return r.decide(ctx, j, sink, grant, st, result)
 }
 
 func (r *Runner) beginAttempt(j *job.Job) (finish func(), err *outcome.Error) {
@@ -179,18 +179,18 @@
 // schedulerResult returns the result to report to the scheduler. A failure counts against the
 // endpoint unless the endpoint is draining or paused, the caller has disconnected, or the
 // deadline has passed.
-func schedulerResult(ctx context.Context, e attempt.Result) scheduler.Result {
-	res := scheduler.Result{Complete: e.Failure == nil, Generated: e.Generated}
-	if e.Failure != nil {
-		res.Failed = !e.Failure.Draining && !e.Failure.Paused && e.Failure.Kind != retry.CallerGone && ctx.Err() == nil
-		res.Unreachable = res.Failed && e.Failure.Kind == retry.NotSent
+func schedulerResult(ctx context.Context, result attempt.Result) scheduler.Result {
+	res := scheduler.Result{Complete: result.Failure == nil, Generated: result.Generated}
+	if result.Failure != nil {
+		res.Failed = !result.Failure.Draining && !result.Failure.Paused && result.Failure.Kind != retry.CallerGone && ctx.Err() == nil
+		res.Unreachable = res.Failed && result.Failure.Kind == retry.NotSent
 	}
 	return res
 }
 
 // decide returns the outcome after a failed attempt, or true if the request is to be rerun.
-func (r *Runner) decide(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *requestState, end attempt.Result) (*outcome.Error, bool) {
-	f := end.Failure
+func (r *Runner) decide(ctx context.Context, j *job.Job, sink job.Sink, grant dispatch.Grant, st *requestState, result attempt.Result) (*outcome.Error, bool) {
+	f := result.Failure
 	r.reportFailure(grant, f)
 	if ctx.Err() != nil && f.Kind != retry.NotSent && f.Kind != retry.RefusedBeforeExecution && f.Kind != retry.CallerGone {
 		f.Kind = retry.GenerationLost
@@ -198,7 +198,7 @@
 	if f.Kind != retry.NotSent {
 		st.sentAttempts++
 	}
-	st.released += end.Released
+	st.released += result.Released
 	d := retry.Decide(retry.Attempt{
 		Failure:           f.Kind,
 		Idempotent:        j.Row.Idempotent,
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -22,8 +22,8 @@
 // failingPerformer is a Performer whose attempts all lose the connection.
 type failingPerformer struct{ attempts int }
 
-func (b *failingPerformer) Perform(context.Context, *job.Job, job.Sink, dispatch.Grant) attempt.Result {
-	b.attempts++
+func (p *failingPerformer) Perform(context.Context, *job.Job, job.Sink, dispatch.Grant) attempt.Result {
+	p.attempts++
 	return attempt.Result{Failure: &attempt.Failure{Kind: retry.LinkLost, Err: io.ErrUnexpectedEOF}}
 }
 
@@ -38,17 +38,17 @@
 			{ID: "desk-2", Type: fleet.Service, Targets: []string{"desk"}, MaxRunning: 4, State: fleet.Live},
 		})
 		performer := &failingPerformer{}
-		begun, finished := 0, 0
+		started, finished := 0, 0
 		r := runner.New(runner.Config{
 			Dispatcher: dispatch.New(policy),
 			Performer:  performer,
 			OnFailure:  func(retry.Failure) {},
 			OnStep:     func(retry.Step) {},
 			BeginAttempt: func(*job.Job) (func(), *outcome.Error) {
-				if begun == allowed {
+				if started == allowed {
 					return nil, outcome.NotRunf(outcome.CodeQuarantined, "contained")
 				}
-				begun++
+				started++
 				return func() { finished++ }, nil
 			},
 		})
@@ -57,6 +57,6 @@
 		g.Expect(err.Code).To(Equal(outcome.CodeQuarantined))
 		g.Expect(err.Outcome).To(Equal(want))
 		g.Expect(performer.attempts).To(Equal(allowed))
-		g.Expect(finished).To(Equal(begun))
+		g.Expect(finished).To(Equal(started))
 	}
 }
