--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -39,7 +39,7 @@
 
 // TestAnEndpointThatNamesALimitGetsNoMore: callers of three entries met an endpoint that had
 // said how many requests a second it takes, and got as many as before; the story stands at
-// TestLimitedEndpointsGetWhatTheyTake. Here it goes over real connections: from a moment after
+// TestLimitedEndpointsGetAtMostTheirLimit. Here it goes over real connections: from a moment after
 // each entry has passed on such an answer the endpoint gets what it named and no more, the
 // others serve the rest, and once its answers name no limit it is used as before.
 func TestAnEndpointThatNamesALimitGetsNoMore(t *testing.T) {
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -41,7 +41,7 @@
 	return &reader{source: s, held: held, registry: fleet.NewRegistry()}
 }
 
-// Read implements controllers.Reader.
+// Read implements controllers.ValueReader.
 func (r *reader) Read(ctx context.Context, wait time.Duration) ([]published.Value, error) {
 	r.mu.Lock()
 	since := r.since
--- a/internal/peering/remote.go
+++ b/internal/peering/remote.go
@@ -59,8 +59,8 @@
 	return err
 }
 
-// RunAt implements owner.Remote. If a stream to the owner breaks, it attaches again as long as the
-// owner has answered, at most maxAttachments times in all.
+// Forward implements owner.Remote. If a stream to the owner breaks, it attaches again as long as
+// the owner has answered, at most maxAttachments times in all.
 func (c *Client) Forward(ctx context.Context, t claims.Ticket, j *job.Job, sink job.Sink) *outcome.Error {
 	address, err := c.ownerAddress(t)
 	if err != nil {
@@ -96,7 +96,7 @@
 	Now  time.Time
 }
 
-// Holder implements claims.Directory.
+// InheritorAddress implements claims.Directory.
 func (d Directory) InheritorAddress(i claims.Incarnation) (string, bool) {
 	m, ok := d.View.Inheritor(d.Now, i[:])
 	return m.Address, ok
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// over returns an error of type fleet.OverError if one of the lives is over.
+// over returns an error of type fleet.InstanceEndedError if one of the lives is over.
 func (f *Forwarder) over(lives ...fleet.Instance) error {
 	for _, l := range lives {
 		if f.cfg.Over != nil && f.cfg.Over(l) {
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -40,7 +40,7 @@
 	// package lengths.
 	PriorHazard float64
 	// PartitionMemory splits each endpoint's memory equally among its home entries;
-	// see SetHome.
+	// see SetHomeEntries.
 	PartitionMemory bool
 	// MaxBorrowUtilization is the projected utilization of an endpoint up to which an
 	// entry may use more than its own partition.
--- a/pkg/scheduler/mechanisms.go
+++ b/pkg/scheduler/mechanisms.go
@@ -82,9 +82,12 @@
 	return c
 }
 
-// isTokenLatencyScorer reports whether s is the scorer that prefers endpoints with a lower
+// isInterTokenLatencyScorer reports whether s is the scorer that prefers endpoints with a lower
 // inter-token latency.
-func isTokenLatencyScorer(s routing.Scorer) bool { _, ok := s.(routing.InterTokenLatency); return ok }
+func isInterTokenLatencyScorer(s routing.Scorer) bool {
+	_, ok := s.(routing.InterTokenLatency)
+	return ok
+}
 
 // removeScorers removes the matching scorers from a copy of the pipeline's scorers, which
 // other configurations may share.
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -176,8 +176,8 @@
 	s.cfg.RemoteSampleSize = max(remote, 1)
 }
 
-// SetHome sets how many home entries an endpoint has if this entry is one of them; zero means
-// that it isn't. Home entries split the endpoint's memory into equal partitions. Within its
+// SetHomeEntries sets how many home entries an endpoint has if this entry is one of them; zero
+// means that it isn't. Home entries split the endpoint's memory into equal partitions. Within its
 // partition an entry doesn't depend on the load of its peers, so that stale peer state can't make
 // all of them send at once. Beyond its partition, and at other endpoints, it sends only while the
 // projected utilization is at most Config.MaxBorrowUtilization.
--- a/pkg/scheduler/target.go
+++ b/pkg/scheduler/target.go
@@ -11,7 +11,8 @@
 
 // target groups the endpoints that serve one target.
 type target struct {
-	// homes are endpoints of the own data centre that this entry is a home entry of; see SetHome.
+	// homes are endpoints of the own data centre that this entry is a home entry of; see
+	// SetHomeEntries.
 	homes []*endpoint
 	// local are the other endpoints of the own data centre.
 	local []*endpoint
--- a/pkg/scheduler/versions.go
+++ b/pkg/scheduler/versions.go
@@ -64,7 +64,7 @@
 		c.LimitWaitByRunTime = true
 		// Requests go to the least loaded of a few engines, so a lower inter-token latency is no
 		// reason to prefer one.
-		c.removeScorers(isTokenLatencyScorer)
+		c.removeScorers(isInterTokenLatencyScorer)
 		// All rows of the platform have the same weight, so no request is worth displacing a
 		// waiting one for.
 		c.DisplaceRatio = math.Inf(1)
--- a/pkg/stream/events.go
+++ b/pkg/stream/events.go
@@ -46,7 +46,7 @@
 	// ErrNotContinuation means that the first event of a continuation doesn't follow
 	// the last event. It belongs to another generation, whose events must not be
 	// joined to those of the first.
-	ErrNotContinuation = errors.New("stream: continuation does not start at the next event")
+	ErrNotContinuation = errors.New("stream: not the rest")
 )
 
 // Feed adds received bytes. It returns the concatenated events that are complete
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -75,7 +75,7 @@
 mutant "exchange: leaves repeated by all who hear" internal/peering/cluster_state.go 's/if r.GetDataCenter() != cs.view.Self().GetDataCenter() {/if true {/' ./internal/peering
 mutant "starts: silent peers awaited" internal/controllers/catchup.go 's/peerSyncTimeout = 150 \* time.Millisecond/peerSyncTimeout = time.Hour/' ./internal/controllers
 mutant "starts: store read though peers know" internal/controllers/catchup.go 's/if !c.Ready() {/if true {/' ./internal/controllers
-mutant "starts: old copy believed to be new" platform/store.go 's/^\tout.Revision = 0$//' "./internal/gateway -run TestTheFirstStart"
+mutant "starts: old copy believed to be new" platform/store.go 's/^\tout.Revision = newest$//' "./internal/gateway -run TestTheFirstStart"
 mutant "notices: not bounded" internal/notices/notices.go 's/count := min(len(peers), maxPromptNoticesPerSecond-n.sentInSecond)/count := len(peers)/' ./internal/notices
 mutant "store: read while the view settles" internal/controllers/load_poller.go 's/if !pause.For(ctx, c.StartDelay)/if !pause.For(ctx, 0)/' ./internal/controllers
 mutant "store: a pause after a deaf watch" internal/controllers/value_watcher.go 's/case err != nil \&\& wait > 0:/case false:/' "./internal/controllers -run TestFailedWatch"
@@ -217,7 +217,7 @@
 mutant "restores: pages of two eras taken for a list" platform/store.go 's/if at.Era() != out.Revision.Era() {/if false {/' "./platform -run Era"
 mutant "restores: a stale list of the era before believed" platform/store.go 's/if newest > out.Revision {/if false {/' "./platform -run Restore"
 mutant "restores: a watch begins at a stale list" internal/gateway/reader.go 's/if watchable {/if true {/' "./internal/gateway -run Stale"
-mutant "restores: an earlier era followed" internal/gateway/reader.go 's/if all.Revision.Era() < r.registry.Revision().Era() {/if false {/' "./internal/gateway -run NotBeenRestored"
+mutant "restores: an earlier era followed" internal/gateway/reader.go 's/if all.Revision.Epoch() < r.registry.Revision().Epoch() {/if false {/' "./internal/gateway -run NotBeenRestored"
 mutant "restores: changes of another era applied" pkg/fleet/registry.go 's/if asOf.Epoch() != r.revision.Epoch() {/if false {/' ./pkg/fleet
 mutant "restores: a list of a later era that is the same is no news" pkg/fleet/registry.go 's/if asOf.Epoch() == r.revision.Epoch() \&\& maps/if maps/' ./pkg/fleet
 mutant "restores: values in doubt taken at once" pkg/register/register.go 's/ || now.Sub(r.uncertainSince) < r.settlePeriod//' "./pkg/register ./internal/published -run Restore"
