--- a/pkg/fleet/instance.go
+++ b/pkg/fleet/instance.go
@@ -28,7 +28,7 @@
 
 // Error implements error.
 func (e InstanceEndedError) Error() string {
-	return fmt.Sprintf("%s has started again since incarnation %d", e.Instance.Endpoint, e.Instance.Incarnation)
+	return fmt.Sprintf("%s has started again since its start at %d", e.Instance.Endpoint, e.Instance.Incarnation)
 }
 
 // StaleRecordFilter prevents a list of endpoints from reverting to an earlier instance of one.
