--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -167,7 +167,7 @@
 mutant "crashing requests: unbounded" $J 's/if len(s.facts) <= MaxFacts {/if true {/' ./pkg/quarantine
 mutant "crashing requests: one life counts twice" pkg/quarantine/event.go 's/return xxhash.Sum64(append(data, listed.Endpoint...))/return xxhash.Sum64(append(data, listed.Endpoint...)) + rand.Uint64()/;s/"encoding\/binary"/"encoding\/binary"\n\t"math\/rand\/v2"/' ./internal/crashwatch
 mutant "crashing requests: another workspace's are the same" pkg/quarantine/identity.go 's/\[\]byte(workspace), //' ./pkg/quarantine
-mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: encodeKeys(c.cfg.ClusterState.guard.Keys())//' ./internal/peering
+mutant "crashing requests: not told" internal/peering/client.go 's/RequestFactKeys: encodeKeys(c.cfg.ClusterState.guard.Keys()), //' ./internal/peering
 mutant "crashing requests: told by none but who saw them" internal/peering/server.go 's/resp.RequestFacts, resp.WantedRequestFacts = encodeFacts(now, missing), encodeKeys(wanted)/resp.WantedRequestFacts, _ = encodeKeys(wanted), missing/' ./internal/peering
 mutant "crashing requests: sent again by the runner" internal/runner/runner.go 's/if r.cfg.BeginAttempt == nil {/if true {/' ./internal/runner
 mutant "crashing requests: not refused at once" internal/filters/quarantined/quarantined.go 's/if err := guard.Check(job.FromRequest(r).Identity); err != nil {/if err := guard.Check(job.FromRequest(r).Identity); false {/' ./internal/filters/quarantined
@@ -240,7 +240,7 @@
 mutant "lists: whole ones are passed on whole" internal/published/changes.go 's/return fleet.Diff(previous.Content, v.Content, v.Revision.Number())/return nil, errChangesUnknown/' "./internal/published -run FullList"
 mutant "reads: idle engines read as often as others" internal/peering/homes.go 's/case !cs.confirmIdle(now, e.Instance()):/default:/' "./internal/peering -run PollsScale"
 mutant "reads: told prompts do not end idleness" pkg/scheduler/remote_load.go 's/e.ownRunning == 0 \&\& e.peersRunning == 0 \&\& s.pendingPrefillTokens(now, e) == 0/e.ownRunning == 0/' "./internal/peering -run Idle"
-mutant "lists: what waits is not passed on" internal/gateway/beliefs.go 's/^\tg.applyLater(until)$/\tg.applyLater(until)\n\tselect {\n\tcase <-g.exchange.Kicked:\n\tdefault:\n\t}/' "./internal/gateway -run ListThatWaits"
+mutant "lists: what waits is not passed on" internal/gateway/beliefs.go 's/^\tg.applyLater(until)$/\tg.applyLater(until)\n\tselect {\n\tcase <-g.exchange.RoundRequests:\n\tdefault:\n\t}/' "./internal/gateway -run ListThatWaits"
 mutant "lists: whole ones sent to all who ask" internal/peering/large_documents.go 's/if l.inFlightBytes > 0 \&\& l.inFlightBytes+size > maxInFlightLargeBytes {/if false {/' "./internal/peering -run Large"
 
 exit $green
