--- a/internal/filters/route/route.go
+++ b/internal/filters/route/route.go
@@ -81,7 +81,7 @@
 		return outcome.NotRunf(outcome.CodeUnauthenticated, "the API key is not known")
 	}
 	j.Workspace = w.Name
-	j.AllowedRegions = w.Regions
+	j.PermittedRegions = w.Regions
 	return nil
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -70,8 +70,8 @@
 	// OwnerAnswered is set if the answer or error comes from the ticket's owner.
 	OwnerAnswered bool
 
-	// AllowedRegions are the workspace's regions; see table.Workspace.
-	AllowedRegions []string
+	// PermittedRegions are the workspace's regions; see table.Workspace.
+	PermittedRegions []string
 	// identity caches the result of Identity; nil until its first call.
 	identity *quarantine.Identity
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -128,15 +128,15 @@
 // endpoint to avoid, or empty.
 func Request(j *job.Job, avoid string) scheduler.Request {
 	req := scheduler.Request{
-		Workspace:      j.Workspace,
-		Kind:           j.Kind,
-		Row:            j.Row,
-		PromptTokens:   j.PromptTokens,
-		MaxTokens:      j.MaxTokens,
-		ArrivedAt:      j.ArrivedAt,
-		Avoid:          avoid,
-		Identity:       j.Identity,
-		AllowedRegions: j.AllowedRegions,
+		Workspace:        j.Workspace,
+		Kind:             j.Kind,
+		Row:              j.Row,
+		PromptTokens:     j.PromptTokens,
+		MaxTokens:        j.MaxTokens,
+		ArrivedAt:        j.ArrivedAt,
+		Avoid:            avoid,
+		Identity:         j.Identity,
+		PermittedRegions: j.PermittedRegions,
 	}
 	if j.Prompt != "" {
 		req.PromptTokens = len(j.Prompt)/bytesPerToken + 1
--- a/pkg/scheduler/policy.go
+++ b/pkg/scheduler/policy.go
@@ -69,9 +69,9 @@
 	ArrivedAt time.Time
 	// Avoid is the ID of an endpoint where the request failed before; empty if none.
 	Avoid string
-	// AllowedRegions limits the workspace's requests to these regions; empty means no limit.
+	// PermittedRegions limits the workspace's requests to these regions; empty means no limit.
 	// The regions of the row apply in addition.
-	AllowedRegions []string
+	PermittedRegions []string
 	// Identity, if set, returns the identity of the request's content, by which isolated
 	// requests are recognised. It hashes the body, so it is called only while some request
 	// is isolated.
--- a/pkg/scheduler/regions.go
+++ b/pkg/scheduler/regions.go
@@ -9,7 +9,7 @@
 // allowsEndpoint reports whether the regions of the request's row and workspace permit an
 // endpoint. An endpoint of unknown region is in none.
 func (r *Request) allowsEndpoint(e *endpoint) bool {
-	return inRegions(r.Row.Regions, e.spec.Region) && inRegions(r.AllowedRegions, e.spec.Region)
+	return inRegions(r.Row.Regions, e.spec.Region) && inRegions(r.PermittedRegions, e.spec.Region)
 }
 
 func inRegions(allowed []string, region string) bool {
@@ -17,7 +17,7 @@
 }
 
 // regionRestricted reports whether the row or the workspace limits the regions of the request.
-func (r *Request) regionRestricted() bool { return len(r.Row.Regions)+len(r.AllowedRegions) > 0 }
+func (r *Request) regionRestricted() bool { return len(r.Row.Regions)+len(r.PermittedRegions) > 0 }
 
 // refuseOutsideRegions returns the error for a request that has no endpoint in a permitted
 // region, or nil.
--- a/pkg/scheduler/regions_test.go
+++ b/pkg/scheduler/regions_test.go
@@ -44,7 +44,7 @@
 		for id := range 20 {
 			r := longRequest(id+1, now)
 			r.Row.Priority = 9
-			r.Row.Regions, r.AllowedRegions = tc.row, tc.workspace
+			r.Row.Regions, r.PermittedRegions = tc.row, tc.workspace
 			if err := s.Submit(now, r); tc.want == "" {
 				g.Expect(err).NotTo(BeNil(), name)
 				continue
